--- a/apps/knapctl/src/comparison_run.cc
+++ b/apps/knapctl/src/comparison_run.cc
@@ -32,7 +32,7 @@
 PolicySide ComparisonPlan::SideAt(Duration since_start) const {
   const auto number = static_cast<uint64_t>(since_start / block);
   const bool second_half = since_start % block >= block / 2;
-  return decide::SideInTime(second_half, number, mix.seed);
+  return decide::SideOfBlockHalf(second_half, number, mix.seed);
 }
 
 ComparisonRun::ComparisonRun(const CommandLine& line,
--- a/bench/slots_bench.cc
+++ b/bench/slots_bench.cc
@@ -26,7 +26,7 @@
     const FleetModel::Outcome outcome = FleetModel(settings).Run();
     sum.online += outcome.online;
     sum.late += outcome.late;
-    sum.refused += outcome.refused;
+    sum.rejected += outcome.rejected;
     sum.batch_slot_seconds += outcome.batch_slot_seconds;
     sum.mean_wait += outcome.mean_wait / kSeeds;
   }
@@ -48,7 +48,7 @@
     const FleetModel::Outcome outcome = RunSeeds(rule, settings);
     fmt::print("{:<38} {:>7} {:>7.2f} {:>8} {:>12.0f} {:>10.1f}\n", rule.name,
                outcome.online, 100.0 * outcome.late / outcome.online,
-               outcome.refused, outcome.batch_slot_seconds,
+               outcome.rejected, outcome.batch_slot_seconds,
                outcome.mean_wait * 1000);
   }
   fmt::print("\n");
@@ -61,8 +61,8 @@
   using knapweedstile::serving::FleetModel;
   using knapweedstile::serving::Table;
   Table("5 entries, 18 servers of 8 slots",
-        {.entries = 5, .servers = 18, .valley_rate = 35, .peak_rate = 185});
-  Table("21 entries, 47 servers of 7 slots", {.entries = 21,
+        {.gateways = 5, .servers = 18, .valley_rate = 35, .peak_rate = 185});
+  Table("21 entries, 47 servers of 7 slots", {.gateways = 21,
                                               .servers = 47,
                                               .slots = 7,
                                               .valley_rate = 95,
--- a/libs/cluster/include/cluster/cell_map.h
+++ b/libs/cluster/include/cluster/cell_map.h
@@ -29,16 +29,17 @@
   // The cells of a divided fleet, from all registered gateways. A gateway's
   // cell depends on its name and zone only, as long as the zone keeps about its
   // size, so that one that comes or goes moves no other.
-  static CellMap Divided(const std::map<std::string, std::string>& zones);
+  static CellMap ForDividedFleet(
+      const std::map<std::string, std::string>& zones);
 
   // The whole fleet for an entry that is not known.
-  Cell Of(const std::string& entry) const;
+  Cell CellOf(const std::string& entry) const;
   // The cell whose readers of the store the entry follows.
-  Cell ReadersOf(const std::string& entry) const;
+  Cell StoreReaderCellOf(const std::string& entry) const;
   // The same for a gateway of a divided fleet that is not registered yet.
-  Cell CellFor(const std::string& gateway, const std::string& zone) const;
+  Cell ComputeCell(const std::string& gateway, const std::string& zone) const;
   // Entries of the cell.
-  size_t EntriesIn(const Cell& cell) const;
+  size_t CountGateways(const Cell& cell) const;
   std::vector<std::string> GatewaysIn(const Cell& cell) const;
   // All cells that have gateways.
   std::vector<Cell> Cells() const;
--- a/libs/cluster/include/cluster/fleet_view.h
+++ b/libs/cluster/include/cluster/fleet_view.h
@@ -40,7 +40,7 @@
   const FleetLayout& layout() const noexcept { return layout_; }
   bool divided() const noexcept { return layout_.divided(); }
   const CellMap& cells() const noexcept { return cells_; }
-  serving::Cell own_cell() const { return cells_.Of(own_name_); }
+  serving::Cell own_cell() const { return cells_.CellOf(own_name_); }
   // Whether a gateway of that name and zone exchanges state with this one.
   bool IsPeer(const std::string& name, const std::string& zone) const;
   // Names of the registered gateways that do, without the own one.
@@ -48,7 +48,7 @@
   // Shards that this gateway's cell holds.
   std::vector<uint32_t> OwnShards() const;
   uint32_t ShardOf(std::string_view job) const { return shards_.ShardOf(job); }
-  bool Holds(std::string_view job) const;
+  bool HoldsJob(std::string_view job) const;
   // Names of the gateways that hold the job, the strong ones of the cell first,
   // then by rendezvous hashing: all who see the same fleet try them in the same
   // order. A job's records go from its first holder to the whole cell, which
--- a/libs/cluster/src/cell_map.cc
+++ b/libs/cluster/src/cell_map.cc
@@ -56,7 +56,8 @@
   }
 }
 
-CellMap CellMap::Divided(const std::map<std::string, std::string>& zones) {
+CellMap CellMap::ForDividedFleet(
+    const std::map<std::string, std::string>& zones) {
   std::map<std::string, size_t> gateways_by_zone;
   for (const auto& [gateway, zone] : zones) ++gateways_by_zone[zone];
   CellMap map;
@@ -64,13 +65,13 @@
     map.parts_by_zone_[zone] = DividedPartsOf(gateways);
   }
   for (const auto& [gateway, zone] : zones) {
-    map.cells_[gateway] = map.CellFor(gateway, zone);
+    map.cells_[gateway] = map.ComputeCell(gateway, zone);
   }
   return map;
 }
 
-Cell CellMap::CellFor(const std::string& gateway,
-                      const std::string& zone) const {
+Cell CellMap::ComputeCell(const std::string& gateway,
+                          const std::string& zone) const {
   const auto known = parts_by_zone_.find(zone);
   const uint32_t parts = known == parts_by_zone_.end() ? 1 : known->second;
   return {.availability_zone = zone,
@@ -78,16 +79,16 @@
           .part = static_cast<uint32_t>(Hash64(gateway) % parts)};
 }
 
-Cell CellMap::Of(const std::string& entry) const {
+Cell CellMap::CellOf(const std::string& entry) const {
   const auto known = cells_.find(entry);
   return known == cells_.end() ? Cell() : known->second;
 }
 
-Cell CellMap::ReadersOf(const std::string& entry) const {
-  return cells_.size() <= kMostAfterSameReaders ? Cell() : Of(entry);
+Cell CellMap::StoreReaderCellOf(const std::string& entry) const {
+  return cells_.size() <= kMostAfterSameReaders ? Cell() : CellOf(entry);
 }
 
-size_t CellMap::EntriesIn(const Cell& cell) const {
+size_t CellMap::CountGateways(const Cell& cell) const {
   return std::count_if(
       cells_.begin(), cells_.end(),
       [&cell](const auto& entry) { return entry.second == cell; });
--- a/libs/cluster/src/fleet_view.cc
+++ b/libs/cluster/src/fleet_view.cc
@@ -39,13 +39,13 @@
   for (const auto& [name, member] : members_) {
     zones[name] = member.availability_zone;
   }
-  cells_ = CellMap::Divided(zones);
+  cells_ = CellMap::ForDividedFleet(zones);
   shards_ = ShardMap(layout_.shards, cells_);
   return true;
 }
 
 bool FleetView::IsPeer(const std::string& name, const std::string& zone) const {
-  return !divided() || cells_.CellFor(name, zone) == own_cell();
+  return !divided() || cells_.ComputeCell(name, zone) == own_cell();
 }
 
 std::vector<std::string> FleetView::Peers() const {
@@ -62,7 +62,7 @@
   return shards_.ShardsOf(own_cell());
 }
 
-bool FleetView::Holds(std::string_view job) const {
+bool FleetView::HoldsJob(std::string_view job) const {
   return !divided() || shards_.CellOf(ShardOf(job)) == own_cell();
 }
 
--- a/libs/cluster/tests/cell_map_test.cc
+++ b/libs/cluster/tests/cell_map_test.cc
@@ -24,9 +24,9 @@
 
 TEST_CASE("a small fleet is one cell") {
   const CellMap cells(Entries(3, 5));
-  CHECK(cells.Of("entry-0-0") == Cell());
-  CHECK(cells.Of("entry-0-0").Holds({.availability_zone = "zone-2"}));
-  CHECK(cells.ReadersOf("entry-0-0") == Cell());
+  CHECK(cells.CellOf("entry-0-0") == Cell());
+  CHECK(cells.CellOf("entry-0-0").Contains({.availability_zone = "zone-2"}));
+  CHECK(cells.StoreReaderCellOf("entry-0-0") == Cell());
 }
 
 // Two dozen entries in three zones: each change at a server would go to all of
@@ -34,21 +34,22 @@
 // readers of the store; six would cost three times the calls.
 TEST_CASE("the zones of a middling fleet are cells with the same readers") {
   const CellMap cells(Entries(3, 8));
-  CHECK(cells.EntriesIn(cells.Of("entry-0-0")) == 8);
-  CHECK_FALSE(cells.Of("entry-0-0") == cells.Of("entry-1-0"));
-  CHECK(cells.ReadersOf("entry-0-0") == Cell());
+  CHECK(cells.CountGateways(cells.CellOf("entry-0-0")) == 8);
+  CHECK_FALSE(cells.CellOf("entry-0-0") == cells.CellOf("entry-1-0"));
+  CHECK(cells.StoreReaderCellOf("entry-0-0") == Cell());
   const CellMap large(Entries(5, 12));
-  CHECK(large.ReadersOf("entry-0-0") == large.Of("entry-0-0"));
+  CHECK(large.StoreReaderCellOf("entry-0-0") == large.CellOf("entry-0-0"));
 }
 
 TEST_CASE("the zones of a large fleet are cells") {
   const CellMap cells(Entries(5, 12));
-  const Cell cell = cells.Of("entry-1-3");
-  CHECK(cell == cells.Of("entry-1-11"));
-  CHECK_FALSE(cell == cells.Of("entry-2-3"));
-  CHECK(cells.EntriesIn(cell) == 12);
-  CHECK(cell.Holds({.instance = "i-1", .availability_zone = "zone-1"}));
-  CHECK_FALSE(cell.Holds({.instance = "i-1", .availability_zone = "zone-2"}));
+  const Cell cell = cells.CellOf("entry-1-3");
+  CHECK(cell == cells.CellOf("entry-1-11"));
+  CHECK_FALSE(cell == cells.CellOf("entry-2-3"));
+  CHECK(cells.CountGateways(cell) == 12);
+  CHECK(cell.Contains({.instance = "i-1", .availability_zone = "zone-1"}));
+  CHECK_FALSE(
+      cell.Contains({.instance = "i-1", .availability_zone = "zone-2"}));
 }
 
 // Three hundred entries in five zones: were a zone one cell, each change would
@@ -57,21 +58,21 @@
   const CellMap cells(Entries(5, 60));
   std::map<Cell, size_t> parts;
   for (int e = 0; e < 60; ++e)
-    ++parts[cells.Of("entry-3-" + std::to_string(e))];
+    ++parts[cells.CellOf("entry-3-" + std::to_string(e))];
   CHECK(parts.size() == 5);
   for (const auto& [cell, entries] : parts) CHECK(entries == 12);
   for (int s = 0; s < 100; ++s) {
     const ServerRecord server{.instance = "i-" + std::to_string(s),
                               .availability_zone = "zone-3"};
     int holders = 0;
-    for (const auto& [cell, entries] : parts) holders += cell.Holds(server);
+    for (const auto& [cell, entries] : parts) holders += cell.Contains(server);
     CHECK(holders == 1);
   }
 }
 
 TEST_CASE("an entry that is not known may use the whole fleet") {
   const CellMap cells(Entries(5, 12));
-  CHECK(cells.Of("stranger") == Cell());
+  CHECK(cells.CellOf("stranger") == Cell());
 }
 
 }  // namespace knapweedstile::cluster
--- a/libs/cluster/tests/fleet_view_test.cc
+++ b/libs/cluster/tests/fleet_view_test.cc
@@ -47,7 +47,7 @@
   const FleetView view = MakeView(100, 3);
   CHECK_FALSE(view.divided());
   CHECK(view.Peers().size() == 99);
-  CHECK(view.Holds(JobOf(1)));
+  CHECK(view.HoldsJob(JobOf(1)));
 }
 
 // Guards against a job that two gateways look for at different places.
@@ -60,7 +60,7 @@
     CHECK(holders == other.HoldersOf(JobOf(job)));
     const bool holds =
         std::find(holders.begin(), holders.end(), NameOf(0)) != holders.end();
-    CHECK(one.Holds(JobOf(job)) == holds);
+    CHECK(one.HoldsJob(JobOf(job)) == holds);
   }
 }
 
--- a/libs/decide/include/decide/policy_comparison.h
+++ b/libs/decide/include/decide/policy_comparison.h
@@ -62,11 +62,11 @@
 PolicySide SideOfRequest(uint64_t request_hash, uint64_t block, uint64_t seed);
 
 // Which policy an engine of half 0 or 1 serves under in a block (split design).
-PolicySide SideOfHalf(uint32_t half, uint64_t block, uint64_t seed);
+PolicySide SideOfFleetHalf(uint32_t half, uint64_t block, uint64_t seed);
 
 // Which policy is in force in the first or second half of the block's time
 // (alternate design).
-PolicySide SideInTime(bool second_half, uint64_t block, uint64_t seed);
+PolicySide SideOfBlockHalf(bool second_half, uint64_t block, uint64_t seed);
 
 // What callers and jobs received under one policy.
 struct SideResult {
--- a/libs/decide/src/policy_comparison.cc
+++ b/libs/decide/src/policy_comparison.cc
@@ -278,11 +278,11 @@
   return SideOfBit(HashCombine(HashCombine(seed, block), request_hash));
 }
 
-PolicySide SideOfHalf(uint32_t half, uint64_t block, uint64_t seed) {
+PolicySide SideOfFleetHalf(uint32_t half, uint64_t block, uint64_t seed) {
   return SideOfBit(half ^ Draw(seed, 0) ^ (block & 1));
 }
 
-PolicySide SideInTime(bool second_half, uint64_t block, uint64_t seed) {
+PolicySide SideOfBlockHalf(bool second_half, uint64_t block, uint64_t seed) {
   return SideOfBit(uint64_t{second_half} ^ Draw(seed, block));
 }
 
--- a/libs/decide/tests/policy_comparison_test.cc
+++ b/libs/decide/tests/policy_comparison_test.cc
@@ -133,9 +133,9 @@
   int first = 0;
   for (uint64_t i = 0; i < 10000; ++i) {
     first += SideOfRequest(i, i / 100, 9) == PolicySide::kFirst;
-    REQUIRE(SideOfHalf(0, i, 9) != SideOfHalf(1, i, 9));
-    REQUIRE(SideOfHalf(0, i, 9) != SideOfHalf(0, i + 1, 9));
-    REQUIRE(SideInTime(false, i, 9) != SideInTime(true, i, 9));
+    REQUIRE(SideOfFleetHalf(0, i, 9) != SideOfFleetHalf(1, i, 9));
+    REQUIRE(SideOfFleetHalf(0, i, 9) != SideOfFleetHalf(0, i + 1, 9));
+    REQUIRE(SideOfBlockHalf(false, i, 9) != SideOfBlockHalf(true, i, 9));
   }
   REQUIRE(first > 4800);
   REQUIRE(first < 5200);
--- a/libs/gateway/src/batch/batch_answers.cc
+++ b/libs/gateway/src/batch/batch_answers.cc
@@ -90,7 +90,7 @@
 
 void BatchRunner::OnEnd(ItemRun& run, const http::EndEvent& event) {
   if (event.outcome == http::ClientOutcome::kNotSent) {
-    board_.ReportUnreachable(run.server, MonotonicNow());
+    board_.MarkUnreachable(run.server, MonotonicNow());
     return Requeue(run, kNotRunPause, "unreachable");
   }
   if (event.outcome != http::ClientOutcome::kComplete) {
@@ -103,16 +103,16 @@
   const ServerAnswer answer = DecodeAnswer(run.status, run.head);
   if (answer.not_executed) {
     if (answer.wrong_instance) {
-      board_.ReportUnreachable(run.server, MonotonicNow());
+      board_.MarkUnreachable(run.server, MonotonicNow());
     } else {
-      board_.ReportFull(run.server, MonotonicNow());
+      board_.MarkFull(run.server, MonotonicNow());
     }
     return Requeue(run, kNotRunPause, "not_executed");
   }
   if (answer.request_id != run.item_id) return OnBroken(run, "foreign_answer");
   if (!answer.ok()) return OnFailedAnswer(run);
   if (run.reader.HasPartial()) return OnBroken(run, "partial_event");
-  board_.ReportGood(run.server);
+  board_.MarkReachable(run.server);
   Finish(run, ItemState::kCompleted);
 }
 
@@ -150,7 +150,7 @@
                         {"age_ms", ToMillis(age)}});
   metrics_.Add("knap_items_total",
                {std::string(NameOf(state)),
-                std::string(board_.SharingName(run.server))});
+                std::string(board_.SharingPolicyName(run.server))});
   RecordRun(run, NameOf(state));
   Leave(run);
   book_.SetFinished(item, state);
@@ -187,7 +187,7 @@
 }
 
 void BatchRunner::Leave(ItemRun& run) {
-  board_.Ended(run.server, TrafficClass::kBatch);
+  board_.OnRequestEnded(run.server, TrafficClass::kBatch);
   runs_.erase(run.upstream);
   ports_.usage_changed();
 }
--- a/libs/gateway/src/batch/batch_api.cc
+++ b/libs/gateway/src/batch/batch_api.cc
@@ -47,7 +47,7 @@
 }  // namespace
 
 BatchApi::BatchApi(StoreCalls& store, const RecordKinds& kinds,
-                   serving::JobBook& book, JobWriter& writer,
+                   serving::JobTable& book, JobWriter& writer,
                    std::string own_name, Ports ports)
     : store_(store),
       kinds_(kinds),
--- a/libs/gateway/src/batch/batch_api.h
+++ b/libs/gateway/src/batch/batch_api.h
@@ -18,7 +18,7 @@
 #include "observe/metrics.h"
 #include "peers/own_record.h"
 #include "platform/store_answer.h"
-#include "serving/job_book.h"
+#include "serving/job_table.h"
 #include "serving/route.h"
 #include "users_platform/batch_calls.h"
 
@@ -37,7 +37,7 @@
     std::function<bool()> current;
   };
 
-  BatchApi(StoreCalls& store, const RecordKinds& kinds, serving::JobBook& book,
+  BatchApi(StoreCalls& store, const RecordKinds& kinds, serving::JobTable& book,
            JobWriter& writer, std::string own_name, Ports ports);
 
   void Submit(http::RequestEvent&& request, const serving::Route& route,
@@ -77,7 +77,7 @@
 
   StoreCalls& store_;
   const RecordKinds& kinds_;
-  serving::JobBook& book_;
+  serving::JobTable& book_;
   JobWriter& writer_;
   std::string own_name_;
   Ports ports_;
--- a/libs/gateway/src/batch/batch_runner.cc
+++ b/libs/gateway/src/batch/batch_runner.cc
@@ -37,7 +37,7 @@
 }  // namespace
 
 BatchRunner::BatchRunner(ServerConnections& connections,
-                         serving::SlotBoard& board, serving::JobBook& book,
+                         serving::SlotScheduler& board, serving::JobTable& book,
                          const serving::RouteTable& routes,
                          observe::Metrics& metrics, observe::Timeline& timeline,
                          Ports ports)
@@ -58,7 +58,7 @@
   GiveUpExpired(now);
   WithdrawQueued(now);
   // A policy that has come into force may leave batch less than it has.
-  for (const BackendServerId server : board_.BatchBeyondSharing()) {
+  for (const BackendServerId server : board_.ServersOverBatchLimit()) {
     Yield(server);
   }
   std::set<std::string, std::less<>> full;  // routes without room
@@ -116,7 +116,7 @@
   request.deadline = now + kLongestRun;
   request.stream_body = true;
   book_.SetRunning(item);
-  board_.Started(server, TrafficClass::kBatch);
+  board_.OnRequestStarted(server, TrafficClass::kBatch);
   runs_.emplace(run.upstream, std::move(run));
   ports_.usage_changed();
   connections_.Send(std::move(request));
@@ -124,7 +124,8 @@
 }
 
 void BatchRunner::GiveWay(TimePoint now) {
-  for (const BackendServerId server : board_.BatchInTheWay(now)) Yield(server);
+  for (const BackendServerId server : board_.ServersToPreempt(now))
+    Yield(server);
 }
 
 // Failure guarded against: an entry that has just started, or whose watch lags,
@@ -168,7 +169,8 @@
   std::map<BackendServerId, ExchangeId> queued;
   for (const auto& [upstream, run] : runs_) {
     if (run.any_event || now - run.started_at < kQueuedAfter) continue;
-    if (board_.Excess(run.server) > 0) queued.emplace(run.server, upstream);
+    if (board_.Oversubscription(run.server) > 0)
+      queued.emplace(run.server, upstream);
   }
   for (const auto& [server, upstream] : queued) {
     connections_.Cancel(upstream);
@@ -184,7 +186,7 @@
   for (const ExchangeId upstream : stalled) {
     ItemRun& run = runs_.at(upstream);
     connections_.Cancel(upstream);
-    board_.ReportUnreachable(run.server, now);
+    board_.MarkUnreachable(run.server, now);
     OnBroken(run, "stalled");
   }
 }
@@ -194,7 +196,7 @@
   for (const auto& [upstream, run] : runs_) {
     const serving::BatchJob* job = book_.Find(run.item.job);
     const bool listed = job && job->progress[run.item.index].phase ==
-                                   serving::ItemPhase::kListed;
+                                   serving::ItemPhase::kCommitted;
     if (!job || job->ended || listed) unwanted.push_back(upstream);
   }
   for (const ExchangeId upstream : unwanted) {
--- a/libs/gateway/src/batch/batch_runner.h
+++ b/libs/gateway/src/batch/batch_runner.h
@@ -17,9 +17,9 @@
 #include "serving/event_stream_reader.h"
 #include "serving/item_ref.h"
 #include "serving/item_result.h"
-#include "serving/job_book.h"
+#include "serving/job_table.h"
 #include "serving/route_table.h"
-#include "serving/slot_board.h"
+#include "serving/slot_scheduler.h"
 
 namespace knapweedstile::gateway {
 
@@ -41,8 +41,8 @@
         outside;
   };
 
-  BatchRunner(ServerConnections& connections, serving::SlotBoard& board,
-              serving::JobBook& book, const serving::RouteTable& routes,
+  BatchRunner(ServerConnections& connections, serving::SlotScheduler& board,
+              serving::JobTable& book, const serving::RouteTable& routes,
               observe::Metrics& metrics, observe::Timeline& timeline,
               Ports ports);
 
@@ -102,8 +102,8 @@
   void RecordRun(const ItemRun& run, std::string_view end);
   serving::ItemProgress& Progress(const ItemRun& run);
 
-  serving::SlotBoard& board_;
-  serving::JobBook& book_;
+  serving::SlotScheduler& board_;
+  serving::JobTable& book_;
   const serving::RouteTable& routes_;
   observe::Metrics& metrics_;
   observe::Timeline& timeline_;
--- a/libs/gateway/src/batch/job_ownership.cc
+++ b/libs/gateway/src/batch/job_ownership.cc
@@ -6,7 +6,7 @@
 
 #include "base/hash.h"
 #include "peers/peer_link.h"
-#include "serving/job_book.h"
+#include "serving/job_table.h"
 
 namespace knapweedstile::gateway {
 namespace {
@@ -30,7 +30,7 @@
 }  // namespace
 
 JobOwnership::JobOwnership(std::string own_name, TimePoint started_at,
-                           const PeerLink& peers, const serving::JobBook& book)
+                           const PeerLink& peers, const serving::JobTable& book)
     : own_name_(std::move(own_name)),
       started_at_(started_at),
       peers_(peers),
--- a/libs/gateway/src/batch/job_ownership.h
+++ b/libs/gateway/src/batch/job_ownership.h
@@ -7,7 +7,7 @@
 
 namespace knapweedstile::serving {
 struct BatchJob;
-class JobBook;
+class JobTable;
 }  // namespace knapweedstile::serving
 
 namespace knapweedstile::gateway {
@@ -21,7 +21,7 @@
 class JobOwnership {
  public:
   JobOwnership(std::string own_name, TimePoint started_at,
-               const PeerLink& peers, const serving::JobBook& book);
+               const PeerLink& peers, const serving::JobTable& book);
 
   // Commands.
   // Whether the ends of jobs are known as they are in the store.
@@ -44,7 +44,7 @@
   std::string own_name_;
   TimePoint started_at_;
   const PeerLink& peers_;
-  const serving::JobBook& book_;
+  const serving::JobTable& book_;
   bool knows_ends_ = false;
   bool stopping_ = false;
 };
--- a/libs/gateway/src/batch/job_records.cc
+++ b/libs/gateway/src/batch/job_records.cc
@@ -120,7 +120,7 @@
   job.route = Text(*object, "route");
   job.workspace = Text(*object, "workspace");
   job.items = std::move(items);
-  job.learned_at = now;
+  job.received_at = now;
   const int64_t completion = Number(*object, "completion_ms");
   const int64_t age =
       std::clamp<int64_t>(wall_millis - Number(*object, "accepted_ms"), 0,
--- a/libs/gateway/src/batch/job_writer.cc
+++ b/libs/gateway/src/batch/job_writer.cc
@@ -36,7 +36,7 @@
 }  // namespace
 
 JobWriter::JobWriter(StoreCalls& store, const RecordKinds& kinds,
-                     serving::JobBook& book, observe::Metrics& metrics,
+                     serving::JobTable& book, observe::Metrics& metrics,
                      Ports ports)
     : store_(store),
       kinds_(kinds),
@@ -45,7 +45,7 @@
       ports_(std::move(ports)) {}
 
 serving::QuotaVerdict JobWriter::Judge(const Request& request) const {
-  if (request.most_waiting_tokens == 0) return serving::QuotaVerdict::kFits;
+  if (request.most_waiting_tokens == 0) return serving::QuotaVerdict::kAccept;
   const serving::QuotaScope scope = request.scope();
   uint64_t waiting = book_.WaitingTokens(scope);
   for (const auto& [id, submission] : submissions_) {
@@ -54,7 +54,7 @@
     }
   }
   const auto verdict =
-      quota_.Judge(scope, waiting, request.tokens, request.most_waiting_tokens,
+      quota_.Check(scope, waiting, request.tokens, request.most_waiting_tokens,
                    ports_.entries());
   // Failure guarded against: an entry that wakes from a pause, or was cut off,
   // knows less than what waits, and would give away what others have taken. An
@@ -64,9 +64,9 @@
   const bool upper_half =
       2 * (waiting + request.tokens) > request.most_waiting_tokens;
   const bool known = upper_half ? ports_.current() : ports_.complete();
-  if (known || verdict == serving::QuotaVerdict::kOver) return verdict;
+  if (known || verdict == serving::QuotaVerdict::kOverLimit) return verdict;
   ports_.refresh();
-  return serving::QuotaVerdict::kUnacknowledged;
+  return serving::QuotaVerdict::kAwaitPeers;
 }
 
 void JobWriter::Refuse(const Request& request, SubmitOutcome outcome,
@@ -101,27 +101,27 @@
     return done(SubmitOutcome::kUnavailable);
   }
   switch (Judge(request)) {
-    case serving::QuotaVerdict::kFits:
+    case serving::QuotaVerdict::kAccept:
       return Begin(std::move(request), std::move(done));
-    case serving::QuotaVerdict::kUnacknowledged: {
+    case serving::QuotaVerdict::kAwaitPeers: {
       const TimePoint give_up_at = MonotonicNow() + kLongestHold;
       return held_.push_back({std::move(request), std::move(done), give_up_at});
     }
-    case serving::QuotaVerdict::kOver:
+    case serving::QuotaVerdict::kOverLimit:
       Refuse(request, SubmitOutcome::kOverQuota, "quota");
       return done(SubmitOutcome::kOverQuota);
   }
 }
 
 void JobWriter::OnHeard(uint64_t number, TimePoint now) {
-  quota_.Heard(number, now);
+  quota_.OnAcknowledged(number, now);
   for (auto waiting = std::exchange(held_, {}); !waiting.empty();
        waiting.pop_front()) {
     Held& held = waiting.front();
     const auto verdict = Judge(held.request);
-    if (verdict == serving::QuotaVerdict::kFits) {
+    if (verdict == serving::QuotaVerdict::kAccept) {
       Begin(std::move(held.request), std::move(held.done));
-    } else if (verdict == serving::QuotaVerdict::kUnacknowledged &&
+    } else if (verdict == serving::QuotaVerdict::kAwaitPeers &&
                now < held.give_up_at) {
       held_.push_back(std::move(held));
     } else {
@@ -133,7 +133,7 @@
 
 void JobWriter::Begin(Request&& request, Submitted done) {
   if (request.most_waiting_tokens != 0) {
-    quota_.Take(request.job, request.scope(), request.tokens);
+    quota_.Reserve(request.job, request.scope(), request.tokens);
   }
   const SubmissionId id = ++last_submission_;
   Submission& submission = submissions_[id];
@@ -223,7 +223,8 @@
         [] {});
   }
   taken.mapped().done(SubmitOutcome::kAccepted);
-  quota_.Written(request.job, ports_.written({JobName(request.job), value}));
+  quota_.OnRecordWritten(request.job,
+                         ports_.written({JobName(request.job), value}));
   ports_.book_changed(request.job);
 }
 
@@ -232,9 +233,9 @@
   auto taken = submissions_.extract(id);
   const std::string& job = taken.mapped().request.job;
   if (outcome == SubmitOutcome::kUnknown) {
-    quota_.Unsure(job, MonotonicNow() + kKnownEverywhere);
+    quota_.OnWriteUncertain(job, MonotonicNow() + kKnownEverywhere);
   } else {
-    quota_.Drop(job);
+    quota_.Release(job);
   }
   Refuse(taken.mapped().request, outcome, cause);
   taken.mapped().done(outcome);
--- a/libs/gateway/src/batch/job_writer.h
+++ b/libs/gateway/src/batch/job_writer.h
@@ -15,8 +15,8 @@
 #include "observe/metrics.h"
 #include "peers/own_record.h"
 #include "platform/store_answer.h"
-#include "serving/job_book.h"
-#include "serving/quota_guard.h"
+#include "serving/job_table.h"
+#include "serving/quota_limiter.h"
 
 namespace knapweedstile::gateway {
 
@@ -72,8 +72,8 @@
     }
   };
 
-  JobWriter(StoreCalls& store, const RecordKinds& kinds, serving::JobBook& book,
-            observe::Metrics& metrics, Ports ports);
+  JobWriter(StoreCalls& store, const RecordKinds& kinds,
+            serving::JobTable& book, observe::Metrics& metrics, Ports ports);
 
   void Submit(Request&& request, Submitted done);
   void End(const std::string& job, TimePoint give_up_at, Ended done);
@@ -119,10 +119,10 @@
 
   StoreCalls& store_;
   const RecordKinds& kinds_;
-  serving::JobBook& book_;
+  serving::JobTable& book_;
   observe::Metrics& metrics_;
   Ports ports_;
-  serving::QuotaGuard quota_;
+  serving::QuotaLimiter quota_;
   uint64_t last_submission_ = 0;
   std::unordered_map<SubmissionId, Submission> submissions_;
   std::deque<Held> held_;  // in the order of their arrival
--- a/libs/gateway/src/batch/own_batches.cc
+++ b/libs/gateway/src/batch/own_batches.cc
@@ -151,7 +151,7 @@
 };
 
 OwnBatches::OwnBatches(const serving::RouteTable& routes,
-                       const serving::JobBook& book, JobWriter& writer,
+                       const serving::JobTable& book, JobWriter& writer,
                        std::string own_name, Ports ports)
     : routes_(routes),
       book_(book),
--- a/libs/gateway/src/batch/own_batches.h
+++ b/libs/gateway/src/batch/own_batches.h
@@ -10,7 +10,7 @@
 #include "http/server_command.h"
 #include "http/server_event.h"
 #include "serving/batch_job.h"
-#include "serving/job_book.h"
+#include "serving/job_table.h"
 #include "serving/route_table.h"
 
 namespace knapweedstile::gateway {
@@ -34,7 +34,7 @@
         may_ask;
   };
 
-  OwnBatches(const serving::RouteTable& routes, const serving::JobBook& book,
+  OwnBatches(const serving::RouteTable& routes, const serving::JobTable& book,
              JobWriter& writer, std::string own_name, Ports ports);
 
   static bool IsTarget(std::string_view target);
@@ -65,7 +65,7 @@
   void RespondUnknownJob(ExchangeId exchange, const CallerIdentity& caller);
 
   const serving::RouteTable& routes_;
-  const serving::JobBook& book_;
+  const serving::JobTable& book_;
   JobWriter& writer_;
   std::string own_name_;
   Ports ports_;
--- a/libs/gateway/src/batch/record_reader.cc
+++ b/libs/gateway/src/batch/record_reader.cc
@@ -7,7 +7,7 @@
 #include "base/log.h"
 #include "batch/job_records.h"
 #include "platform/store_answer.h"
-#include "serving/job_book.h"
+#include "serving/job_table.h"
 
 namespace knapweedstile::gateway {
 namespace {
@@ -16,14 +16,15 @@
 
 }  // namespace
 
-RecordReader::RecordReader(serving::JobBook& book, Ports ports)
+RecordReader::RecordReader(serving::JobTable& book, Ports ports)
     : book_(book), ports_(std::move(ports)) {}
 
 void RecordReader::Take(const platform::StoredObject& object) {
   const RecordName name = ParseRecordName(object.name);
   switch (name.type) {
     case RecordType::kJob:
-      return object.deleted ? book_.Forget(name.id) : AddJob(name.id, object);
+      return object.deleted ? book_.RemoveJob(name.id)
+                            : AddJob(name.id, object);
     case RecordType::kSegment:
       if (!object.deleted) AddSegment(name, object);
       return;
--- a/libs/gateway/src/batch/record_reader.h
+++ b/libs/gateway/src/batch/record_reader.h
@@ -8,7 +8,7 @@
 struct StoredObject;
 }
 namespace knapweedstile::serving {
-class JobBook;
+class JobTable;
 }
 
 namespace knapweedstile::gateway {
@@ -24,7 +24,7 @@
     std::function<void(const std::string& job)> progress;
   };
 
-  RecordReader(serving::JobBook& book, Ports ports);
+  RecordReader(serving::JobTable& book, Ports ports);
 
   void Take(const platform::StoredObject& object);
 
@@ -32,7 +32,7 @@
   void AddJob(const std::string& id, const platform::StoredObject& object);
   void AddSegment(const RecordName& name, const platform::StoredObject& object);
 
-  serving::JobBook& book_;
+  serving::JobTable& book_;
   Ports ports_;
 };
 
--- a/libs/gateway/src/batch/result_committer.cc
+++ b/libs/gateway/src/batch/result_committer.cc
@@ -42,7 +42,7 @@
 }  // namespace
 
 ResultCommitter::ResultCommitter(
-    StoreCalls& store, const RecordKinds& kinds, serving::JobBook& book,
+    StoreCalls& store, const RecordKinds& kinds, serving::JobTable& book,
     std::function<void(const std::string&)> committed,
     std::function<void(const OwnRecord&)> written)
     : store_(store),
@@ -65,7 +65,7 @@
       continue;
     }
     const serving::BatchJob* known = book_.Find(job);
-    if (!known || known->ended || book_.Uncommitted(job).empty()) {
+    if (!known || known->ended || book_.UncommittedResults(job).empty()) {
       at = pending_.erase(at);
       continue;
     }
@@ -77,7 +77,7 @@
 void ResultCommitter::Write(const std::string& job, Pending& pending) {
   pending.in_flight = true;
   pending.number = book_.Find(job)->segments;
-  pending.results = Fitting(book_.Uncommitted(job));
+  pending.results = Fitting(book_.UncommittedResults(job));
   pending.record = {SegmentName(job, pending.number),
                     EncodeSegment(pending.results)};
   store_.CallAnyWay(
--- a/libs/gateway/src/batch/result_committer.h
+++ b/libs/gateway/src/batch/result_committer.h
@@ -10,7 +10,7 @@
 #include "peers/own_record.h"
 #include "platform/store_answer.h"
 #include "serving/item_result.h"
-#include "serving/job_book.h"
+#include "serving/job_table.h"
 
 namespace knapweedstile::gateway {
 
@@ -26,7 +26,7 @@
 class ResultCommitter {
  public:
   ResultCommitter(StoreCalls& store, const RecordKinds& kinds,
-                  serving::JobBook& book,
+                  serving::JobTable& book,
                   std::function<void(const std::string& job)> committed,
                   std::function<void(const OwnRecord& record)> written);
 
@@ -57,7 +57,7 @@
 
   StoreCalls& store_;
   const RecordKinds& kinds_;
-  serving::JobBook& book_;
+  serving::JobTable& book_;
   std::function<void(const std::string&)> committed_;
   std::function<void(const OwnRecord&)> written_;
   std::map<std::string, Pending> pending_;  // by job
--- a/libs/gateway/src/gateway.cc
+++ b/libs/gateway/src/gateway.cc
@@ -185,7 +185,7 @@
   peers_.Expire(now);
   rate_.Expire(now);
   follower_.Run(now);
-  board_.ExpireReports(now);
+  board_.ExpirePeerReports(now);
   board_.ObserveDemand(now);
   crashes_.Expire(now);
   runner_.GiveWay(now);
--- a/libs/gateway/src/gateway.h
+++ b/libs/gateway/src/gateway.h
@@ -36,10 +36,10 @@
 #include "peers/sync_tracker.h"
 #include "servers/server_connections.h"
 #include "servers/server_directory.h"
-#include "serving/crash_ledger.h"
-#include "serving/job_book.h"
+#include "serving/crash_tracker.h"
+#include "serving/job_table.h"
 #include "serving/route_table.h"
-#include "serving/slot_board.h"
+#include "serving/slot_scheduler.h"
 #include "store/record_collector.h"
 #include "store/record_mirrors.h"
 #include "store/store_calls.h"
@@ -128,9 +128,9 @@
   TimePoint started_at_;
   observe::Metrics metrics_;
   observe::Timeline timeline_;
-  serving::SlotBoard board_;
-  serving::CrashLedger crashes_;
-  serving::JobBook book_;
+  serving::SlotScheduler board_;
+  serving::CrashTracker crashes_;
+  serving::JobTable book_;
   cluster::FleetView fleet_;
   RecordKinds kinds_;
   serving::RouteTable routes_;
--- a/libs/gateway/src/gateway_fleet.cc
+++ b/libs/gateway/src/gateway_fleet.cc
@@ -97,8 +97,8 @@
   if (awaits_layout_) peers.clear();
   if (fleet_.divided() || awaits_layout_) {
     for (const std::string& dropped : peers_.KeepPeers(peers)) {
-      board_.DropEntry(dropped);
-      crashes_.Forget(dropped);
+      board_.RemovePeer(dropped);
+      crashes_.RemovePeer(dropped);
       sync_.Forget(dropped);
     }
   }
@@ -170,7 +170,7 @@
   // Until the directory and the layout are known nobody can say where the job
   // is.
   const bool knows_fleet = members_listed_ && !awaits_layout_;
-  const bool holds = knows_fleet && (job.empty() || fleet_.Holds(job));
+  const bool holds = knows_fleet && (job.empty() || fleet_.HoldsJob(job));
   if (holds || book_.Find(job)) return true;
   if (forwarded) {
     push_.Execute(http::RespondCommand{.exchange = request.exchange,
@@ -207,7 +207,7 @@
   if (follower_.IsReader()) peers_.AdvertiseToOtherCells(OwnState());
   const bool rates = workspaces_.has_rates();
   PeerState state = OwnState();
-  state.crashes = crashes_.Own();
+  state.crashes = crashes_.OwnCounts();
   if (!rates && state.crashes.empty()) return std::nullopt;
   if (!rates && now < summary_sent_at_ + kSummaryPause) return std::nullopt;
   summary_sent_at_ = now;
@@ -217,7 +217,7 @@
 
 void Gateway::OnSummary(const PeerState& state) {
   follower_.OnPeerState(state, MonotonicNow());
-  crashes_.Learn(state.entry, state.crashes);
+  crashes_.SetPeerCounts(state.entry, state.crashes);
   if (!workspaces_.has_rates()) return;
   rate_.OnReport(Hash64(state.entry), state.start, state.rate, false,
                  MonotonicNow());
--- a/libs/gateway/src/gateway_peers.cc
+++ b/libs/gateway/src/gateway_peers.cc
@@ -23,10 +23,10 @@
   rate_.OnReport(Hash64(state.entry), state.start, state.rate, state.partial,
                  now);
   if (state.partial) {
-    board_.UpdateEntry(state.entry, state.usage, now);
+    board_.UpdatePeerUsage(state.entry, state.usage, now);
   } else {
-    board_.ReportEntry(state.entry, state.usage, now);
-    crashes_.Learn(state.entry, state.crashes);
+    board_.SetPeerUsage(state.entry, state.usage, now);
+    crashes_.SetPeerCounts(state.entry, state.crashes);
     LearnFilled(state);
   }
   sync_.OnCount(state.entry, state.start, state.records, now);
@@ -46,14 +46,14 @@
   std::map<std::string, std::string> zones = peers_.Zones();
   zones[settings_.name] = settings_.availability_zone;
   const cluster::CellMap cells(zones);
-  const serving::Cell cell = cells.Of(settings_.name);
+  const serving::Cell cell = cells.CellOf(settings_.name);
   entries_in_cell_ =
-      cell.availability_zone.empty() ? zones.size() : cells.EntriesIn(cell);
+      cell.availability_zone.empty() ? zones.size() : cells.CountGateways(cell);
   board_.SetCell(cell, entries_in_cell_);
   sharer_.SetEntriesInCell(entries_in_cell_);
   UpdateRateMembers();
   peers_.SetCells(cells);
-  follower_.SetCell(cells.ReadersOf(settings_.name), kReadersPerCell,
+  follower_.SetCell(cells.StoreReaderCellOf(settings_.name), kReadersPerCell,
                     MonotonicNow());
 }
 
@@ -102,7 +102,7 @@
   const std::map<std::string, std::string> addresses = peers_.LiveAddresses();
   if (addresses.empty()) return;
   std::map<std::string, ProgressLink::Notes> by_address;
-  for (auto& note : book_.TakeNotes(step, kMostProgressBytes)) {
+  for (auto& note : book_.TakeProgressUpdates(step, kMostProgressBytes)) {
     const auto address = addresses.find(ownership_.SuccessorOf(note.job));
     if (address == addresses.end()) continue;
     by_address[address->second].push_back(std::move(note));
--- a/libs/gateway/src/gateway_records.cc
+++ b/libs/gateway/src/gateway_records.cc
@@ -23,7 +23,7 @@
 // entries' memory; it begins them anew and makes them late. Those others tell
 // it as soon as they hear of its new process.
 void Gateway::OnPeerStarted(const std::string& entry) {
-  book_.Retell(entry);
+  book_.RepublishProgress(entry);
   shared_progress_at_ = TimePoint{};
 }
 
--- a/libs/gateway/src/gateway_wiring.cc
+++ b/libs/gateway/src/gateway_wiring.cc
@@ -65,8 +65,8 @@
                   [this](const std::string& entry) { OnPeerStarted(entry); },
               .lost =
                   [this](const std::string& entry, bool draining) {
-                    board_.DropEntry(entry);
-                    crashes_.Forget(entry);
+                    board_.RemovePeer(entry);
+                    crashes_.RemovePeer(entry);
                     if (!draining) return;
                     sync_.Forget(entry);
                     rate_.Leave(Hash64(entry));
@@ -79,7 +79,7 @@
               .summary = [this](const PeerState& state) { OnSummary(state); },
               .summary_expired =
                   [this](const std::string& gateway) {
-                    crashes_.Forget(gateway);
+                    crashes_.RemovePeer(gateway);
                   }}),
       push_(io, settings.name, start_,
             {.received =
@@ -110,8 +110,8 @@
                   }}),
       progress_(io,
                 [this](ProgressLink::Notes&& notes) {
-                  for (serving::ProgressNote& note : notes) {
-                    book_.Offer(std::move(note));
+                  for (serving::ProgressUpdate& note : notes) {
+                    book_.MergeProgress(std::move(note));
                   }
                 }),
       sharer_(io, peers_, board_, rate_,
@@ -120,7 +120,7 @@
                    [this](PeerState& state, TimePoint now) {
                      state.availability_zone = settings_.availability_zone;
                      state.running_items = runner_.RunningItems();
-                     state.crashes = crashes_.Own();
+                     state.crashes = crashes_.OwnCounts();
                      state.filled = sync_.FilledLately(now);
                    },
                .summary = [this](TimePoint now) { return Summary(now); }}),
--- a/libs/gateway/src/online/online_answers.cc
+++ b/libs/gateway/src/online/online_answers.cc
@@ -57,7 +57,7 @@
     connections_.Cancel(call.upstream);
     return OnBroken(call, "foreign_answer");
   }
-  board_.ReportGood(call.server);
+  board_.MarkReachable(call.server);
   StartPassing(call);
 }
 
@@ -100,7 +100,7 @@
     metrics_.Observe(
         "knap_first_event_seconds",
         ToSeconds(call.first_byte_at - call.request.received_at),
-        {call.route.name, std::string(board_.SharingName(call.server))});
+        {call.route.name, std::string(board_.SharingPolicyName(call.server))});
   }
   ports_.to_caller(http::StreamChunkCommand{.exchange = call.caller,
                                             .data = std::move(data)});
@@ -110,7 +110,7 @@
 void OnlineCalls::OnEnd(OnlineCall& call, http::EndEvent&& event) {
   const TimePoint now = MonotonicNow();
   if (event.outcome == http::ClientOutcome::kNotSent) {
-    board_.ReportUnreachable(call.server, now);
+    board_.MarkUnreachable(call.server, now);
     LogWarning("server_unreachable", {{"request", call.request_id},
                                       {"server", call.address},
                                       {"reason", event.message}});
@@ -131,9 +131,9 @@
   const ServerAnswer answer = DecodeAnswer(call.status, call.head);
   if (answer.not_executed) {
     if (answer.wrong_instance) {
-      board_.ReportUnreachable(call.server, MonotonicNow());
+      board_.MarkUnreachable(call.server, MonotonicNow());
     } else {
-      board_.ReportFull(call.server, MonotonicNow());
+      board_.MarkFull(call.server, MonotonicNow());
     }
     return RetryNotRun(call);
   }
@@ -152,7 +152,7 @@
     return OnBroken(call, "server_error");
   }
   if (!failed) {
-    board_.ReportGood(call.server);
+    board_.MarkReachable(call.server);
     board_.ObserveDuration(call.server, MonotonicNow() - call.sent_at);
   }
   ports_.to_caller(http::RespondCommand{.exchange = call.caller,
@@ -164,7 +164,7 @@
 
 bool OnlineCalls::MayRunElsewhere(const OnlineCall& call) const {
   const bool repeatable =
-      call.route.MayRunAgain() ||
+      call.route.IsRetryable() ||
       (call.route.kind == RouteKind::kStream && call.route.resumable);
   return repeatable && call.runs + 1 < call.route.max_attempts &&
          MonotonicNow() < call.deadline;
@@ -182,7 +182,7 @@
               {"again", again}});
   // Only an end without an answer may be a crash.
   if (reason == NameOf(http::ClientOutcome::kLost) || reason == kRestarted) {
-    crashes_.OnBroken(call.fingerprint, MonotonicNow());
+    crashes_.OnAttemptBroken(call.fingerprint, MonotonicNow());
   }
   call.excluded.push_back(call.server);
   LeaveServer(call);
--- a/libs/gateway/src/online/online_calls.cc
+++ b/libs/gateway/src/online/online_calls.cc
@@ -46,8 +46,8 @@
 }  // namespace
 
 OnlineCalls::OnlineCalls(ServerConnections& connections,
-                         serving::SlotBoard& board,
-                         serving::CrashLedger& crashes,
+                         serving::SlotScheduler& board,
+                         serving::CrashTracker& crashes,
                          observe::Metrics& metrics, observe::Timeline& timeline,
                          uint64_t seed, Ports ports)
     : board_(board),
@@ -106,16 +106,16 @@
     if (call.runs > 0) return Fail(call, kBadGateway, "no_server_to_repeat");
     const bool saturated =
         placement.outcome == serving::PlacementOutcome::kSaturated;
-    const Duration after = saturated
-                               ? return_time_.For(Remaining(call.deadline, now),
-                                                  placement.retry_after)
-                               : placement.retry_after;
+    const Duration after =
+        saturated ? return_time_.DelayFor(Remaining(call.deadline, now),
+                                          placement.retry_after)
+                  : placement.retry_after;
     return Refuse(call, after, NameOf(placement.outcome));
   }
-  call.displaced_batch = placement.displaces_batch;
+  call.displaced_batch = placement.preempts_batch;
   SendTo(call, placement.server);
-  if (placement.displaces_batch) {
-    ports_.displace(placement.server, placement.displaced_entry);
+  if (placement.preempts_batch) {
+    ports_.displace(placement.server, placement.preempted_peer);
   }
 }
 
@@ -145,14 +145,14 @@
       users_platform::ForwardedHeaders(call.request.headers, fields);
   request.body = call.request.body;
   request.deadline = call.deadline;
-  if (call.route.MayRunAgain() && call.runs + 1 < call.route.max_attempts) {
+  if (call.route.IsRetryable() && call.runs + 1 < call.route.max_attempts) {
     const Duration patience = std::max<Duration>(
         kLeastAttemptTime, FromSeconds(ToSeconds(call.route.latency_objective) *
                                        kRepeatAfterObjectives));
     request.deadline = std::min(request.deadline, now + patience);
   }
   request.stream_body = call.route.kind == RouteKind::kStream;
-  board_.Started(server, TrafficClass::kOnline);
+  board_.OnRequestStarted(server, TrafficClass::kOnline);
   ports_.usage_changed();
   connections_.Send(std::move(request));
 }
@@ -160,7 +160,7 @@
 void OnlineCalls::LeaveServer(OnlineCall& call) {
   if (!call.server) return;
   upstreams_.erase(call.upstream);
-  board_.Ended(call.server, TrafficClass::kOnline);
+  board_.OnRequestEnded(call.server, TrafficClass::kOnline);
   call.server = BackendServerId();
   ports_.usage_changed();
 }
--- a/libs/gateway/src/online/online_calls.h
+++ b/libs/gateway/src/online/online_calls.h
@@ -17,11 +17,11 @@
 #include "observe/timeline.h"
 #include "online/online_call.h"
 #include "servers/server_connections.h"
-#include "serving/crash_ledger.h"
+#include "serving/crash_tracker.h"
 #include "serving/placement.h"
-#include "serving/return_time.h"
+#include "serving/retry_after_policy.h"
 #include "serving/route.h"
-#include "serving/slot_board.h"
+#include "serving/slot_scheduler.h"
 
 namespace knapweedstile::gateway {
 
@@ -51,8 +51,8 @@
         outside;
   };
 
-  OnlineCalls(ServerConnections& connections, serving::SlotBoard& board,
-              serving::CrashLedger& crashes, observe::Metrics& metrics,
+  OnlineCalls(ServerConnections& connections, serving::SlotScheduler& board,
+              serving::CrashTracker& crashes, observe::Metrics& metrics,
               observe::Timeline& timeline, uint64_t seed, Ports ports);
 
   // `less_urgent`: than other requests of its service.
@@ -88,12 +88,12 @@
 
   OnlineCall* FindUpstream(ExchangeId upstream);
 
-  serving::SlotBoard& board_;
-  serving::CrashLedger& crashes_;
+  serving::SlotScheduler& board_;
+  serving::CrashTracker& crashes_;
   observe::Metrics& metrics_;
   observe::Timeline& timeline_;
   Rng rng_;
-  serving::ReturnTime return_time_;
+  serving::RetryAfterPolicy return_time_;
   Ports ports_;
   std::unordered_map<ExchangeId, OnlineCall> calls_;  // by caller
   std::unordered_map<ExchangeId, ExchangeId> upstreams_;
--- a/libs/gateway/src/operators/policy_view.h
+++ b/libs/gateway/src/operators/policy_view.h
@@ -14,7 +14,7 @@
 #include "platform/store_answer.h"
 #include "serving/route.h"
 #include "serving/server_record.h"
-#include "serving/slot_board.h"
+#include "serving/slot_scheduler.h"
 
 namespace knapweedstile::gateway {
 
@@ -28,7 +28,7 @@
 // route, and those of its caller's workspace.
 class PolicyView {
  public:
-  explicit PolicyView(serving::SlotBoard& board) : board_(board) {}
+  explicit PolicyView(serving::SlotScheduler& board) : board_(board) {}
 
   // Commands.
   void OnListed(std::vector<platform::StoredObject>&& objects);
@@ -53,7 +53,7 @@
   objects::Labels TrafficLabels(const serving::Route& route,
                                 const std::string& workspace) const;
 
-  serving::SlotBoard& board_;
+  serving::SlotScheduler& board_;
   objects::Catalog catalog_;
   std::map<std::string, uint64_t> versions_;  // of objects present, by name
   std::map<BackendServerId, std::string> attached_;  // policy and version
--- a/libs/gateway/src/operators/status_page.cc
+++ b/libs/gateway/src/operators/status_page.cc
@@ -14,7 +14,7 @@
 
 namespace json = boost::json;
 
-json::array Servers(const serving::SlotBoard& board,
+json::array Servers(const serving::SlotScheduler& board,
                     const PolicyView& policies) {
   json::array servers;
   for (const BackendServerId id : board.Servers()) {
@@ -30,7 +30,7 @@
                      {"target", record.service},
                      {"availability_zone", record.availability_zone},
                      {"state", record.draining ? "draining" : "ready"},
-                     {"policy", board.SharingName(id)},
+                     {"policy", board.SharingPolicyName(id)},
                      {"labels", std::move(labels)},
                      {"load", json::object{{"slots", record.slots},
                                            {"online", usage.online},
@@ -58,7 +58,7 @@
 }
 
 // How many servers a placement's model has among those it selects.
-json::array Placements(const serving::SlotBoard& board,
+json::array Placements(const serving::SlotScheduler& board,
                        const PolicyView& policies) {
   json::array placements;
   for (const auto& [name, placement] : policies.catalog().placements()) {
@@ -93,7 +93,7 @@
 
 std::string RenderStatus(const GatewaySettings& settings, bool draining,
                          uint64_t configuration,
-                         const serving::SlotBoard& board,
+                         const serving::SlotScheduler& board,
                          const PolicyView& policies) {
   const objects::Catalog& catalog = policies.catalog();
   return json::serialize(
--- a/libs/gateway/src/operators/status_page.h
+++ b/libs/gateway/src/operators/status_page.h
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "observe/timeline.h"
-#include "serving/slot_board.h"
+#include "serving/slot_scheduler.h"
 
 namespace knapweedstile::gateway {
 
@@ -14,7 +14,7 @@
 // The state of one gateway as JSON, for `knapctl status`.
 std::string RenderStatus(const GatewaySettings& settings, bool draining,
                          uint64_t configuration,
-                         const serving::SlotBoard& board,
+                         const serving::SlotScheduler& board,
                          const PolicyView& policies);
 
 // Events of the time line after number `after`, and the wall clock that they
--- a/libs/gateway/src/peers/peer_link.cc
+++ b/libs/gateway/src/peers/peer_link.cc
@@ -177,7 +177,7 @@
 void PeerLink::SetCells(const cluster::CellMap& cells) {
   entries_by_cell_.clear();
   for (const auto& [entry, peer] : peers_) {
-    entries_by_cell_[cells.Of(entry)].push_back(entry);
+    entries_by_cell_[cells.CellOf(entry)].push_back(entry);
   }
 }
 
--- a/libs/gateway/src/peers/progress_link.cc
+++ b/libs/gateway/src/peers/progress_link.cc
@@ -48,7 +48,7 @@
 
 void ProgressLink::Send(const std::string& address, const Notes& notes) {
   json::array list;
-  for (const serving::ProgressNote& note : notes) {
+  for (const serving::ProgressUpdate& note : notes) {
     list.push_back(json::object{{"job", note.job},
                                 {"item", note.item},
                                 {"last", note.last_event},
--- a/libs/gateway/src/peers/progress_link.h
+++ b/libs/gateway/src/peers/progress_link.h
@@ -10,7 +10,7 @@
 
 #include "http/client.h"
 #include "http/server_event.h"
-#include "serving/progress_note.h"
+#include "serving/progress_update.h"
 
 namespace knapweedstile::gateway {
 
@@ -22,7 +22,7 @@
 // is begun again at every stop, and those of ten seconds are never in time.
 class ProgressLink {
  public:
-  using Notes = std::vector<serving::ProgressNote>;
+  using Notes = std::vector<serving::ProgressUpdate>;
 
   ProgressLink(boost::asio::io_context& io,
                std::function<void(Notes&&)> received);
--- a/libs/gateway/src/peers/state_sharer.cc
+++ b/libs/gateway/src/peers/state_sharer.cc
@@ -5,7 +5,7 @@
 
 #include "base/clock.h"
 #include "peers/peer_link.h"
-#include "serving/slot_board.h"
+#include "serving/slot_scheduler.h"
 #include "workspaces/rate_quota.h"
 
 namespace knapweedstile::gateway {
@@ -21,7 +21,7 @@
 }  // namespace
 
 StateSharer::StateSharer(boost::asio::io_context& io, PeerLink& peers,
-                         const serving::SlotBoard& board,
+                         const serving::SlotScheduler& board,
                          workspaces::RateQuota& rate, Ports ports)
     : peers_(peers),
       board_(board),
@@ -64,8 +64,8 @@
   peers_.BroadcastByCell(std::move(state), [&](const serving::Cell& cell) {
     serving::UsageByProcess usage;
     for (const auto& [process, counts] : changes) {
-      const serving::ServerRecord* record = board_.RecordOf(process);
-      if (record && cell.Holds(*record)) usage[process] = counts;
+      const serving::ServerRecord* record = board_.RecordByProcess(process);
+      if (record && cell.Contains(*record)) usage[process] = counts;
     }
     return usage;
   });
--- a/libs/gateway/src/peers/state_sharer.h
+++ b/libs/gateway/src/peers/state_sharer.h
@@ -12,7 +12,7 @@
 #include "serving/usage_by_process.h"
 
 namespace knapweedstile::serving {
-class SlotBoard;
+class SlotScheduler;
 }
 namespace knapweedstile::workspaces {
 class RateQuota;
@@ -37,7 +37,7 @@
   };
 
   StateSharer(boost::asio::io_context& io, PeerLink& peers,
-              const serving::SlotBoard& board, workspaces::RateQuota& rate,
+              const serving::SlotScheduler& board, workspaces::RateQuota& rate,
               Ports ports);
 
   // This one included.
@@ -54,7 +54,7 @@
   serving::UsageByProcess TakeUsageDelta();
 
   PeerLink& peers_;
-  const serving::SlotBoard& board_;
+  const serving::SlotScheduler& board_;
   workspaces::RateQuota& rate_;
   Ports ports_;
   boost::asio::steady_timer timer_;
--- a/libs/gateway/src/servers/server_directory.h
+++ b/libs/gateway/src/servers/server_directory.h
@@ -11,7 +11,7 @@
 #include "base/time.h"
 #include "platform/store_answer.h"
 #include "serving/server_record.h"
-#include "serving/slot_board.h"
+#include "serving/slot_scheduler.h"
 
 namespace knapweedstile::gateway {
 
@@ -28,7 +28,7 @@
   using Restarted =
       std::function<void(BackendServerId former, const std::string& address)>;
 
-  ServerDirectory(serving::SlotBoard& board, Restarted restarted)
+  ServerDirectory(serving::SlotScheduler& board, Restarted restarted)
       : board_(board), restarted_(std::move(restarted)) {}
 
   void OnListed(std::vector<platform::StoredObject>&& objects, TimePoint now,
@@ -47,7 +47,7 @@
   void Drop(const std::string& instance, TimePoint now,
             TimePoint store_regained);
 
-  serving::SlotBoard& board_;
+  serving::SlotScheduler& board_;
   Restarted restarted_;
   std::map<std::string, serving::ServerRecord> known_;
   std::map<std::string, TimePoint> missing_;  // removed from then on
--- a/libs/gateway/src/store/record_collector.cc
+++ b/libs/gateway/src/store/record_collector.cc
@@ -22,7 +22,7 @@
 }  // namespace
 
 RecordCollector::RecordCollector(
-    StoreCalls& store, const RecordKinds& kinds, serving::JobBook& book,
+    StoreCalls& store, const RecordKinds& kinds, serving::JobTable& book,
     Settings settings, std::function<bool(const std::string&)> collects)
     : store_(store),
       kinds_(kinds),
@@ -42,7 +42,7 @@
 void RecordCollector::FindExpired(TimePoint now) {
   std::vector<std::string> expired;
   for (const auto& [id, job] : book_.jobs()) {
-    if (!job.open() && job.learned_at + settings_.keep <= now) {
+    if (!job.open() && job.received_at + settings_.keep <= now) {
       expired.push_back(id);
     }
   }
@@ -55,7 +55,7 @@
         names_.push_back(SegmentName(id, number));
       }
       if (job.ended) names_.push_back(EndName(id));
-      book_.Forget(id);
+      book_.RemoveJob(id);
     }
   }
 }
@@ -72,7 +72,7 @@
       names_.push_back(SegmentName(id, number));
     }
     names_.push_back(EndName(id));
-    book_.Forget(id);
+    book_.RemoveJob(id);
   }
 }
 
--- a/libs/gateway/src/store/record_collector.h
+++ b/libs/gateway/src/store/record_collector.h
@@ -9,7 +9,7 @@
 
 #include "base/time.h"
 #include "platform/store_answer.h"
-#include "serving/job_book.h"
+#include "serving/job_table.h"
 
 namespace knapweedstile::gateway {
 
@@ -30,7 +30,7 @@
   };
 
   RecordCollector(StoreCalls& store, const RecordKinds& kinds,
-                  serving::JobBook& book, Settings settings,
+                  serving::JobTable& book, Settings settings,
                   std::function<bool(const std::string& job)> collects);
 
   void Run(TimePoint now);
@@ -43,7 +43,7 @@
 
   StoreCalls& store_;
   const RecordKinds& kinds_;
-  serving::JobBook& book_;
+  serving::JobTable& book_;
   Settings settings_;
   std::function<bool(const std::string&)> collects_;
   TimePoint next_search_{};
--- a/libs/gateway/tests/batch_runner_test.cc
+++ b/libs/gateway/tests/batch_runner_test.cc
@@ -36,8 +36,8 @@
 // A runner with one job, without backend servers.
 struct Fixture {
   boost::asio::io_context io;
-  serving::SlotBoard board{{}, "zone-a", 1};
-  serving::JobBook book;
+  serving::SlotScheduler board{{}, "zone-a", 1};
+  serving::JobTable book;
   serving::RouteTable routes;
   observe::Metrics metrics;
   observe::Timeline timeline{16};
--- a/libs/serving/include/serving/batch_job.h
+++ b/libs/serving/include/serving/batch_job.h
@@ -27,7 +27,7 @@
   std::vector<ItemResult> results;
   uint32_t segments = 0;  // result segments committed
   bool ended = false;     // its caller wants no more of it
-  TimePoint learned_at;   // when this entry first knew of it
+  TimePoint received_at;  // when this entry first knew of it
   TimePoint due_at;       // results are wanted by then
   TimePoint expires_at;   // an item may be given up from then on
 
--- a/libs/serving/include/serving/cell.h
+++ b/libs/serving/include/serving/cell.h
@@ -19,7 +19,7 @@
   uint32_t parts = 1;
   uint32_t part = 0;
 
-  bool Holds(const ServerRecord& server) const;
+  bool Contains(const ServerRecord& server) const;
   // clang-tidy 14 takes the zero of a defaulted comparison for a null pointer.
   // NOLINTNEXTLINE(modernize-use-nullptr)
   auto operator<=>(const Cell&) const = default;
--- a/libs/serving/include/serving/crash_ledger.h
+++ b/libs/serving/include/serving/crash_tracker.h
@@ -1,5 +1,5 @@
-#ifndef KNAPWEEDSTILE_SERVING_CRASH_LEDGER_H_
-#define KNAPWEEDSTILE_SERVING_CRASH_LEDGER_H_
+#ifndef KNAPWEEDSTILE_SERVING_CRASH_TRACKER_H_
+#define KNAPWEEDSTILE_SERVING_CRASH_TRACKER_H_
 
 #include <cstdint>
 #include <map>
@@ -19,21 +19,22 @@
 // would offer it several servers. One break is no proof, since a server that
 // crashes breaks all that it runs; at the third, anywhere in the fleet, the
 // request is turned away for a while. No network, clock or thread.
-class CrashLedger {
+class CrashTracker {
  public:
   // Commands. An attempt of the request ended without an answer.
-  void OnBroken(uint64_t fingerprint, TimePoint now);
+  void OnAttemptBroken(uint64_t fingerprint, TimePoint now);
   // The request was answered: its earlier breaks were a neighbour's fault.
   void OnAnswered(uint64_t fingerprint);
   // What another entry has counted, whole.
-  void Learn(const std::string& entry, const std::vector<CrashCount>& counts);
-  void Forget(const std::string& entry);
+  void SetPeerCounts(const std::string& entry,
+                     const std::vector<CrashCount>& counts);
+  void RemovePeer(const std::string& entry);
   void Expire(TimePoint now);
 
   // Queries.
   bool IsQuarantined(uint64_t fingerprint) const;
   // What this entry has counted, the most broken first, bounded.
-  std::vector<CrashCount> Own() const;
+  std::vector<CrashCount> OwnCounts() const;
 
  private:
   struct Record {
@@ -41,10 +42,10 @@
     TimePoint forget_at;
   };
 
-  std::unordered_map<uint64_t, Record> own_;
-  std::map<std::string, std::unordered_map<uint64_t, uint32_t>> others_;
+  std::unordered_map<uint64_t, Record> own_records_;
+  std::map<std::string, std::unordered_map<uint64_t, uint32_t>> peer_counts_;
 };
 
 }  // namespace knapweedstile::serving
 
-#endif  // KNAPWEEDSTILE_SERVING_CRASH_LEDGER_H_
+#endif  // KNAPWEEDSTILE_SERVING_CRASH_TRACKER_H_
--- a/libs/serving/include/serving/demand_history.h
+++ b/libs/serving/include/serving/demand_history.h
@@ -15,15 +15,16 @@
  public:
   void Observe(uint32_t online) {
     const double step = online - mean_;
-    mean_ += kWeight * step;
-    variance_ = (1 - kWeight) * (variance_ + kWeight * step * step);
+    mean_ += kSmoothingFactor * step;
+    variance_ =
+        (1 - kSmoothingFactor) * (variance_ + kSmoothingFactor * step * step);
   }
   decide::OnlineDemand At(uint32_t online) const {
     return {.now = online, .mean = mean_, .deviation = std::sqrt(variance_)};
   }
 
  private:
-  static constexpr double kWeight = 0.02;
+  static constexpr double kSmoothingFactor = 0.02;
 
   double mean_ = 0;
   double variance_ = 0;
--- a/libs/serving/include/serving/event_stream_reader.h
+++ b/libs/serving/include/serving/event_stream_reader.h
@@ -27,7 +27,7 @@
 
  private:
   // Length of the event at `offset_` with its empty line; zero: not whole.
-  size_t WholeEventLength() const;
+  size_t CompleteEventLength() const;
 
   std::string buffer_;
   size_t offset_ = 0;  // bytes before it were given out
--- a/libs/serving/include/serving/item_progress.h
+++ b/libs/serving/include/serving/item_progress.h
@@ -10,15 +10,15 @@
 namespace knapweedstile::serving {
 
 enum class ItemPhase {
-  kWaiting,   // may be started from `not_before` on
-  kRunning,   // at a backend server, for this entry
-  kFinished,  // its result waits to be committed
-  kListed,    // its result is committed
+  kWaiting,    // may be started from `not_before` on
+  kRunning,    // at a backend server, for this entry
+  kFinished,   // its result waits to be committed
+  kCommitted,  // its result is committed
 };
 
 // What one entry has done for one item. The entry that would go on with it is
-// told of it (progress_note.h); what was not told is lost with the process. The
-// first commit of a result counts, whoever ran the item.
+// told of it (progress_update.h); what was not told is lost with the process.
+// The first commit of a result counts, whoever ran the item.
 struct ItemProgress {
   ItemPhase phase = ItemPhase::kWaiting;
   TimePoint not_before{};
--- a/libs/serving/include/serving/job_book.h
+++ b/libs/serving/include/serving/job_table.h
@@ -1,5 +1,5 @@
-#ifndef KNAPWEEDSTILE_SERVING_JOB_BOOK_H_
-#define KNAPWEEDSTILE_SERVING_JOB_BOOK_H_
+#ifndef KNAPWEEDSTILE_SERVING_JOB_TABLE_H_
+#define KNAPWEEDSTILE_SERVING_JOB_TABLE_H_
 
 #include <cstdint>
 #include <functional>
@@ -12,7 +12,7 @@
 #include "base/time.h"
 #include "serving/batch_job.h"
 #include "serving/item_ref.h"
-#include "serving/progress_note.h"
+#include "serving/progress_update.h"
 #include "serving/quota_scope.h"
 
 namespace knapweedstile::serving {
@@ -29,7 +29,7 @@
 // for a while than there is room. Of the jobs that can still be in time the one
 // that is due first goes first; those that cannot any more come after them, or
 // each overdue job would make the next one late as well.
-class JobBook {
+class JobTable {
  public:
   // Commands: what the store holds.
   // A job that is known already stays as it is.
@@ -39,7 +39,7 @@
   bool AddSegment(const std::string& job, uint32_t number,
                   std::vector<ItemResult>&& results);
   void EndJob(const std::string& job);
-  void Forget(const std::string& job);
+  void RemoveJob(const std::string& job);
 
   // Commands: this entry's runs.
   void SetRunning(const ItemRef& item);
@@ -50,14 +50,15 @@
 
   // Notes of items that have come `step` events further since they were last
   // noted, at most `most_bytes` of them; they count as told from now on.
-  std::vector<ProgressNote> TakeNotes(uint64_t step, size_t most_bytes);
+  std::vector<ProgressUpdate> TakeProgressUpdates(uint64_t step,
+                                                  size_t most_bytes);
   // What another entry tells of an item; taken when it is further than what is
   // known here and nothing runs it here. A note of a job that is not known yet
   // is kept until it is.
-  void Offer(ProgressNote&& note);
+  void MergeProgress(ProgressUpdate&& note);
   // The entry that took these jobs on has lost its memory: what is known here
   // of its waiting items counts as told to nobody.
-  void Retell(std::string_view creator);
+  void RepublishProgress(std::string_view creator);
 
   // Queries.
   const BatchJob* Find(std::string_view job) const;
@@ -76,25 +77,27 @@
   // Segments and ends whose job is not known, by the job's id.
   std::map<std::string, std::vector<uint32_t>> Orphans() const;
   // Finished items of a job that are not committed yet.
-  std::vector<ItemResult> Uncommitted(const std::string& job) const;
+  std::vector<ItemResult> UncommittedResults(const std::string& job) const;
   const std::map<std::string, BatchJob, std::less<>>& jobs() const noexcept {
     return jobs_;
   }
 
  private:
-  void TakeEarlyNotes(const std::string& job);
-  void Apply(BatchJob& job, std::vector<ItemResult>&& results);
+  void MergePendingUpdates(const std::string& job);
+  void AppendSegment(BatchJob& job, std::vector<ItemResult>&& results);
 
   std::map<std::string, BatchJob, std::less<>> jobs_;
   // Segments and ends that came before their job or an earlier segment.
-  std::map<std::string, std::map<uint32_t, std::vector<ItemResult>>> early_;
-  std::map<std::string, bool> early_ends_;
-  std::map<std::string, std::vector<ProgressNote>> early_notes_;  // by job
-  size_t early_note_bytes_ = 0;
+  std::map<std::string, std::map<uint32_t, std::vector<ItemResult>>>
+      pending_segments_;
+  std::map<std::string, bool> pending_ends_;
+  std::map<std::string, std::vector<ProgressUpdate>>
+      pending_updates_;  // by job
+  size_t pending_update_bytes_ = 0;
   // States of finished items that wait for their commit.
-  std::map<std::string, std::map<uint32_t, ItemState>> finished_;
+  std::map<std::string, std::map<uint32_t, ItemState>> uncommitted_states_;
 };
 
 }  // namespace knapweedstile::serving
 
-#endif  // KNAPWEEDSTILE_SERVING_JOB_BOOK_H_
+#endif  // KNAPWEEDSTILE_SERVING_JOB_TABLE_H_
--- a/libs/serving/include/serving/placement.h
+++ b/libs/serving/include/serving/placement.h
@@ -23,8 +23,8 @@
   BackendServerId server;
   // True: a batch item on `server` must give up its slot; it belongs to the
   // entry `displaced_entry`, or to this one when that is empty.
-  bool displaces_batch = false;
-  std::string displaced_entry;
+  bool preempts_batch = false;
+  std::string preempted_peer;
   Duration retry_after{};  // kSaturated, kNoServer: when to come back
 };
 
--- a/libs/serving/include/serving/progress_note.h
+++ b/libs/serving/include/serving/progress_update.h
@@ -1,5 +1,5 @@
-#ifndef KNAPWEEDSTILE_SERVING_PROGRESS_NOTE_H_
-#define KNAPWEEDSTILE_SERVING_PROGRESS_NOTE_H_
+#ifndef KNAPWEEDSTILE_SERVING_PROGRESS_UPDATE_H_
+#define KNAPWEEDSTILE_SERVING_PROGRESS_UPDATE_H_
 
 #include <cstdint>
 #include <string>
@@ -7,7 +7,7 @@
 namespace knapweedstile::serving {
 
 // How far one item has come, for the entry that would go on with it.
-struct ProgressNote {
+struct ProgressUpdate {
   std::string job;
   std::string item;
   uint64_t last_event = 0;
@@ -16,4 +16,4 @@
 
 }  // namespace knapweedstile::serving
 
-#endif  // KNAPWEEDSTILE_SERVING_PROGRESS_NOTE_H_
+#endif  // KNAPWEEDSTILE_SERVING_PROGRESS_UPDATE_H_
--- a/libs/serving/include/serving/quota_guard.h
+++ b/libs/serving/include/serving/quota_limiter.h
@@ -1,5 +1,5 @@
-#ifndef KNAPWEEDSTILE_SERVING_QUOTA_GUARD_H_
-#define KNAPWEEDSTILE_SERVING_QUOTA_GUARD_H_
+#ifndef KNAPWEEDSTILE_SERVING_QUOTA_LIMITER_H_
+#define KNAPWEEDSTILE_SERVING_QUOTA_LIMITER_H_
 
 #include <cstdint>
 #include <map>
@@ -11,9 +11,9 @@
 namespace knapweedstile::serving {
 
 enum class QuotaVerdict {
-  kFits,
-  kOver,            // by what is known here already
-  kUnacknowledged,  // not before others have heard of the jobs taken before it
+  kAccept,
+  kOverLimit,   // by what is known here already
+  kAwaitPeers,  // not before others have heard of the jobs taken before it
 };
 
 // Whether a batch job still fits its workspace's limit on waiting tokens, which
@@ -31,42 +31,43 @@
 // entry does not know of is then in those shares, and the sum stays within the
 // limit and that overage however late the others hear. A single job is taken
 // whatever the share, or one larger than that would never be.
-class QuotaGuard {
+class QuotaLimiter {
  public:
   // `waiting`: tokens known to wait here, this entry's own jobs included.
   // `entries`: those that accept jobs, this one included.
-  QuotaVerdict Judge(const QuotaScope& scope, uint64_t waiting, uint64_t tokens,
+  QuotaVerdict Check(const QuotaScope& scope, uint64_t waiting, uint64_t tokens,
                      uint64_t limit, size_t entries) const;
 
   // Whether others have heard of all that was taken.
   bool empty() const noexcept { return unacknowledged_.empty(); }
 
   // Commands. The job was taken, by Judge's word.
-  void Take(const std::string& job, const QuotaScope& scope, uint64_t tokens);
+  void Reserve(const std::string& job, const QuotaScope& scope,
+               uint64_t tokens);
   // Its record is written, as this entry's `number`th.
-  void Written(const std::string& job, uint64_t number);
+  void OnRecordWritten(const std::string& job, uint64_t number);
   // It was not taken in the end.
-  void Drop(const std::string& job);
+  void Release(const std::string& job);
   // Whether it was written is not known: it counts until `known_at`, by which
   // all entries have read the store.
-  void Unsure(const std::string& job, TimePoint known_at);
+  void OnWriteUncertain(const std::string& job, TimePoint known_at);
   // Every live entry has this entry's records up to `number`.
-  void Heard(uint64_t number, TimePoint now);
+  void OnAcknowledged(uint64_t number, TimePoint now);
 
  private:
   // Of the allowed tenth; the rest is for entries that join or start again.
   static constexpr double kSharedOverage = 0.08;
 
-  struct Unacknowledged {
+  struct Reservation {
     QuotaScope scope;
     uint64_t tokens = 0;
-    uint64_t number = 0;  // zero: not written yet
-    TimePoint until = kNever;
+    uint64_t record_number = 0;  // zero: not written yet
+    TimePoint expires_at = kNever;
   };
 
-  std::map<std::string, Unacknowledged> unacknowledged_;  // by job
+  std::map<std::string, Reservation> unacknowledged_;  // by job
 };
 
 }  // namespace knapweedstile::serving
 
-#endif  // KNAPWEEDSTILE_SERVING_QUOTA_GUARD_H_
+#endif  // KNAPWEEDSTILE_SERVING_QUOTA_LIMITER_H_
--- a/libs/serving/include/serving/return_time.h
+++ b/libs/serving/include/serving/retry_after_policy.h
@@ -1,5 +1,5 @@
-#ifndef KNAPWEEDSTILE_SERVING_RETURN_TIME_H_
-#define KNAPWEEDSTILE_SERVING_RETURN_TIME_H_
+#ifndef KNAPWEEDSTILE_SERVING_RETRY_AFTER_POLICY_H_
+#define KNAPWEEDSTILE_SERVING_RETRY_AFTER_POLICY_H_
 
 #include <algorithm>
 
@@ -21,25 +21,26 @@
 // of what is left. A caller that is told more than a third would not wait for
 // it. Over twelve played bursts 3,162 of 36,786 online requests were turned
 // away for good instead of 4,412.
-class ReturnTime {
+class RetryAfterPolicy {
  public:
-  explicit ReturnTime(uint64_t seed) : rng_(seed) {}
+  explicit RetryAfterPolicy(uint64_t seed) : rng_(seed) {}
 
   // `left`: until the caller gives up; `backlog`: until a slot may be free.
-  Duration For(Duration left, Duration backlog) {
-    const double share = kEarliest + (kLatest - kEarliest) * UniformUnit(rng_);
+  Duration DelayFor(Duration left, Duration backlog) {
+    const double share =
+        kMinShare + (kMaxShare - kMinShare) * UniformUnit(rng_);
     const Duration spread = FromSeconds(ToSeconds(left) * share);
-    const Duration latest = FromSeconds(ToSeconds(left) * kLatest);
+    const Duration latest = FromSeconds(ToSeconds(left) * kMaxShare);
     return std::min(std::max(spread, backlog), latest);
   }
 
  private:
-  static constexpr double kEarliest = 1.0 / 6;
-  static constexpr double kLatest = 1.0 / 3;
+  static constexpr double kMinShare = 1.0 / 6;
+  static constexpr double kMaxShare = 1.0 / 3;
 
   Rng rng_;
 };
 
 }  // namespace knapweedstile::serving
 
-#endif  // KNAPWEEDSTILE_SERVING_RETURN_TIME_H_
+#endif  // KNAPWEEDSTILE_SERVING_RETRY_AFTER_POLICY_H_
--- a/libs/serving/include/serving/route.h
+++ b/libs/serving/include/serving/route.h
@@ -47,7 +47,7 @@
   uint64_t max_waiting_tokens = 0;
 
   // Whether a request may be sent again after it may have run.
-  bool MayRunAgain() const noexcept { return kind == RouteKind::kIdempotent; }
+  bool IsRetryable() const noexcept { return kind == RouteKind::kIdempotent; }
 };
 
 }  // namespace knapweedstile::serving
--- a/libs/serving/include/serving/slot_board.h
+++ b/libs/serving/include/serving/slot_scheduler.h
@@ -1,5 +1,5 @@
-#ifndef KNAPWEEDSTILE_SERVING_SLOT_BOARD_H_
-#define KNAPWEEDSTILE_SERVING_SLOT_BOARD_H_
+#ifndef KNAPWEEDSTILE_SERVING_SLOT_SCHEDULER_H_
+#define KNAPWEEDSTILE_SERVING_SLOT_SCHEDULER_H_
 
 #include <cstdint>
 #include <map>
@@ -21,8 +21,8 @@
 #include "serving/placement.h"
 #include "serving/server_record.h"
 #include "serving/server_usage.h"
-#include "serving/slot_board_settings.h"
 #include "serving/slot_count.h"
+#include "serving/slot_scheduler_settings.h"
 #include "serving/start_rate.h"
 #include "serving/usage_by_process.h"
 
@@ -53,9 +53,10 @@
 //   takes its share of the room step by step: entries that start at the same
 //   moment see the whole fleet free. (Four entries after a common restart put
 //   24 items on servers of 8 slots, and online requests waited for 3 s behind.)
-class SlotBoard {
+class SlotScheduler {
  public:
-  SlotBoard(SlotBoardSettings settings, std::string own_zone, uint64_t seed);
+  SlotScheduler(SlotSchedulerSettings settings, std::string own_zone,
+                uint64_t seed);
 
   // Commands: what is known of the backend servers.
   void Upsert(const ServerRecord& record);
@@ -68,12 +69,12 @@
   void SetCell(const Cell& cell, size_t entries);
 
   // Commands: requests of this entry.
-  void Started(BackendServerId server, TrafficClass traffic);
-  void Ended(BackendServerId server, TrafficClass traffic);
+  void OnRequestStarted(BackendServerId server, TrafficClass traffic);
+  void OnRequestEnded(BackendServerId server, TrafficClass traffic);
   void ObserveDuration(BackendServerId server, Duration duration);
-  void ReportUnreachable(BackendServerId server, TimePoint now);
-  void ReportFull(BackendServerId server, TimePoint now);
-  void ReportGood(BackendServerId server);
+  void MarkUnreachable(BackendServerId server, TimePoint now);
+  void MarkFull(BackendServerId server, TimePoint now);
+  void MarkReachable(BackendServerId server);
   // How online and batch share the server from now on. Without one, batch has
   // what is free beyond the reserve.
   void SetSharing(BackendServerId server,
@@ -83,13 +84,13 @@
 
   // Commands: what other entries have outstanding, by the server's process.
   // All that an entry has outstanding.
-  void ReportEntry(const std::string& entry, const UsageByProcess& usage,
-                   TimePoint now);
+  void SetPeerUsage(const std::string& entry, const UsageByProcess& usage,
+                    TimePoint now);
   // Only what changed; processes that are not named stay as they were.
-  void UpdateEntry(const std::string& entry, const UsageByProcess& changed,
-                   TimePoint now);
-  void DropEntry(const std::string& entry);
-  void ExpireReports(TimePoint now);
+  void UpdatePeerUsage(const std::string& entry, const UsageByProcess& changed,
+                       TimePoint now);
+  void RemovePeer(const std::string& entry);
+  void ExpirePeerReports(TimePoint now);
 
   // Decisions. PlaceOnline counts a displaced item of another entry as gone.
   Placement PlaceOnline(std::string_view service, Duration objective,
@@ -102,9 +103,9 @@
   // Servers at which an own batch item is to be taken back because online
   // requests wait behind it; each item that is taken back is reported by
   // Ended() before the next call. Expects a call every 20 ms or so.
-  std::vector<BackendServerId> BatchInTheWay(TimePoint now);
+  std::vector<BackendServerId> ServersToPreempt(TimePoint now);
   // Requests outstanding over the slots of a backend server.
-  uint32_t Excess(BackendServerId server) const;
+  uint32_t Oversubscription(BackendServerId server) const;
   // Zero when no backend server has room beyond the reserve.
   BackendServerId PlaceBatch(std::string_view service,
                              std::span<const BackendServerId> excluded,
@@ -113,7 +114,7 @@
   // Queries.
   const ServerRecord* Record(BackendServerId server) const;
   // Null when no server is registered with that process.
-  const ServerRecord* RecordOf(ServerProcessId process) const;
+  const ServerRecord* RecordByProcess(ServerProcessId process) const;
   BackendServerId Find(std::string_view instance) const;
   // Slots of the service's usable servers, and those that are free.
   SlotCount CountSlots(std::string_view service, TimePoint now) const;
@@ -125,9 +126,9 @@
   std::vector<BackendServerId> Servers() const;
   // Servers on which batch has more than the sharing in force lets it keep, and
   // this entry an item to take back.
-  std::vector<BackendServerId> BatchBeyondSharing() const;
+  std::vector<BackendServerId> ServersOverBatchLimit() const;
   // Name of the policy in force on the server; "default" without one.
-  std::string_view SharingName(BackendServerId server) const;
+  std::string_view SharingPolicyName(BackendServerId server) const;
 
  private:
   struct Sharing {
@@ -139,20 +140,24 @@
     BackendServerId id;
     ServerRecord record;
     ServerProcessId process;
-    ServerUsage own;
-    ServerUsage others;  // sum of the live reports
-    TimePoint avoid_until{};
-    TimePoint excess_since = kNever;  // more outstanding than slots
+    ServerUsage own_usage;
+    ServerUsage peer_usage;  // sum of the live reports
+    TimePoint backoff_until{};
+    TimePoint oversubscribed_since = kNever;  // more outstanding than slots
     uint32_t failures = 0;
-    bool near = true;   // in this entry's cell
-    bool gone = false;  // no longer registered; kept while requests run
+    bool in_cell = true;   // in this entry's cell
+    bool removed = false;  // no longer registered; kept while requests run
     std::optional<Sharing> sharing;
 
-    uint32_t online() const noexcept { return own.online + others.online; }
-    uint32_t batch() const noexcept { return own.batch + others.batch; }
+    uint32_t online() const noexcept {
+      return own_usage.online + peer_usage.online;
+    }
+    uint32_t batch() const noexcept {
+      return own_usage.batch + peer_usage.batch;
+    }
     uint32_t total() const noexcept { return online() + batch(); }
   };
-  struct Report {
+  struct PeerReport {
     UsageByProcess usage;
     TimePoint expires_at{};
   };
@@ -160,62 +165,64 @@
   bool Usable(const Server& server, std::string_view service,
               std::span<const BackendServerId> excluded) const;
   // Least used first, then the own zone, then by lot.
-  bool Better(const Server& a, uint32_t use_a, const Server& b, uint32_t use_b);
-  enum class Reach { kCell, kBeyond };
-  static bool Within(const Server& server, Reach reach) {
-    return server.near == (reach == Reach::kCell);
+  bool IsPreferred(const Server& a, uint32_t use_a, const Server& b,
+                   uint32_t use_b);
+  enum class Locality { kSameCell, kOtherCell };
+  static bool HasLocality(const Server& server, Reach reach) {
+    return server.in_cell == (reach == Reach::kSameCell);
   }
   // Slots that are free beyond `reserve`, as a weight; online requests.
   double FreeWeight(const Server& server, uint32_t reserve) const;
   // Slots of batch items that an online request would get, as a weight.
-  double BatchWeight(const Server& server) const;
+  double PreemptionWeight(const Server& server) const;
   // One of the usable servers by lot; `weight` zero leaves a server out.
   template <typename Weight>
-  Server* Draw(std::string_view service,
-               std::span<const BackendServerId> excluded, TimePoint now,
-               Weight weight);
+  Server* PickWeighted(std::string_view service,
+                       std::span<const BackendServerId> excluded, TimePoint now,
+                       Weight weight);
   // Items that may still be started on the server.
-  uint32_t BatchRoom(const Server& server) const;
+  uint32_t BatchHeadroom(const Server& server) const;
   decide::BatchLimit LimitOf(const Server& server) const;
   // Items that this entry may start within `reach` until others know of it.
-  double RoomFor(std::string_view service, Reach reach, TimePoint now) const;
+  double TotalBatchHeadroom(std::string_view service, Reach reach,
+                            TimePoint now) const;
   // Entries whose changes come here at once, this one included.
-  size_t EntriesInCell() const;
+  size_t GatewaysInCell() const;
   // Whether few slots of the service are free.
-  bool Scarce(std::string_view service, TimePoint now) const;
+  bool FreeSlotsAreScarce(std::string_view service, TimePoint now) const;
   double ZoneFactor(const Server& server) const;
   Server* LeastUsed(std::string_view service,
                     std::span<const BackendServerId> excluded, TimePoint now);
-  Placement Displace(Server& server);
-  Placement Queue(Server& server, Duration objective);
+  Placement PreemptBatch(Server& server);
+  Placement PlaceInQueue(Server& server, Duration objective);
   // Keeps the process of the server's record as the one that reports name.
-  void Index(Server& server);
+  void IndexProcess(Server& server);
   // Where the record is of a new process of a known instance.
   void RetireFormerProcess(const ServerRecord& record);
   // The present process of that name; null when there is none.
   Server* FindProcess(ServerProcessId process);
-  void SumReports();
-  void Apply(Report& report, ServerProcessId process, ServerUsage usage,
-             TimePoint now);
-  void Avoid(Server& server, Duration time, TimePoint now);
+  void SumPeerUsage();
+  void ApplyUsage(PeerReport& report, ServerProcessId process,
+                  ServerUsage usage, TimePoint now);
+  void BackOff(Server& server, Duration time, TimePoint now);
   Server* FindServer(BackendServerId id);
 
-  SlotBoardSettings settings_;
+  SlotSchedulerSettings settings_;
   std::string own_zone_;
   Cell cell_;
-  size_t entries_in_cell_ = 0;
+  size_t gateways_in_cell_ = 0;
   Rng rng_;
   uint64_t last_id_ = 0;
   std::map<BackendServerId, Server> servers_;
   std::unordered_map<std::string, BackendServerId> by_instance_;
   std::unordered_map<ServerProcessId, BackendServerId> by_process_;
-  std::map<std::string, Report> reports_;
-  std::unordered_map<std::string, double> mean_seconds_;  // by service
+  std::map<std::string, PeerReport> peer_reports_;
+  std::unordered_map<std::string, double> mean_duration_seconds_;  // by service
   // Online requests that other entries start in this cell, by service.
-  std::unordered_map<std::string, StartRate> others_rate_;
+  std::unordered_map<std::string, StartRate> peer_start_rate_;
   TimePoint demand_sampled_at_{};
 };
 
 }  // namespace knapweedstile::serving
 
-#endif  // KNAPWEEDSTILE_SERVING_SLOT_BOARD_H_
+#endif  // KNAPWEEDSTILE_SERVING_SLOT_SCHEDULER_H_
--- a/libs/serving/include/serving/start_rate.h
+++ b/libs/serving/include/serving/start_rate.h
@@ -14,16 +14,16 @@
 class StartRate {
  public:
   void Add(uint32_t starts, TimePoint now) {
-    rate_ = At(now) + starts / kMemorySeconds;
+    rate_ = At(now) + starts / kTimeConstantSeconds;
     as_of_ = now;
   }
   double At(TimePoint now) const {
     if (as_of_ == TimePoint{}) return 0;
-    return rate_ * std::exp(-ToSeconds(now - as_of_) / kMemorySeconds);
+    return rate_ * std::exp(-ToSeconds(now - as_of_) / kTimeConstantSeconds);
   }
 
  private:
-  static constexpr double kMemorySeconds = 0.5;
+  static constexpr double kTimeConstantSeconds = 0.5;
 
   double rate_ = 0;
   TimePoint as_of_{};
--- a/libs/serving/src/cell.cc
+++ b/libs/serving/src/cell.cc
@@ -4,7 +4,7 @@
 
 namespace knapweedstile::serving {
 
-bool Cell::Holds(const ServerRecord& server) const {
+bool Cell::Contains(const ServerRecord& server) const {
   if (availability_zone.empty()) return true;
   if (server.availability_zone != availability_zone) return false;
   return parts <= 1 || Hash64(server.instance) % parts == part;
--- a/libs/serving/src/crash_ledger.cc
+++ b/libs/serving/src/crash_tracker.cc
@@ -1,4 +1,4 @@
-#include "serving/crash_ledger.h"
+#include "serving/crash_tracker.h"
 
 #include <algorithm>
 #include <utility>
@@ -17,45 +17,49 @@
 
 }  // namespace
 
-void CrashLedger::OnBroken(uint64_t fingerprint, TimePoint now) {
-  Record& record = own_[fingerprint];
+void CrashTracker::OnAttemptBroken(uint64_t fingerprint, TimePoint now) {
+  Record& record = own_records_[fingerprint];
   ++record.breaks;
   record.forget_at = now + kMemory;
 }
 
-void CrashLedger::OnAnswered(uint64_t fingerprint) { own_.erase(fingerprint); }
+void CrashTracker::OnAnswered(uint64_t fingerprint) {
+  own_records_.erase(fingerprint);
+}
 
-void CrashLedger::Learn(const std::string& entry,
-                        const std::vector<CrashCount>& counts) {
-  auto& known = others_[entry];
+void CrashTracker::SetPeerCounts(const std::string& entry,
+                                 const std::vector<CrashCount>& counts) {
+  auto& known = peer_counts_[entry];
   known.clear();
   for (const CrashCount& count : counts) {
     known[count.fingerprint] = count.breaks;
   }
 }
 
-void CrashLedger::Forget(const std::string& entry) { others_.erase(entry); }
+void CrashTracker::RemovePeer(const std::string& entry) {
+  peer_counts_.erase(entry);
+}
 
-void CrashLedger::Expire(TimePoint now) {
-  std::erase_if(own_,
+void CrashTracker::Expire(TimePoint now) {
+  std::erase_if(own_records_,
                 [now](const auto& r) { return r.second.forget_at <= now; });
 }
 
-bool CrashLedger::IsQuarantined(uint64_t fingerprint) const {
+bool CrashTracker::IsQuarantined(uint64_t fingerprint) const {
   uint32_t breaks = 0;
-  const auto own = own_.find(fingerprint);
-  if (own != own_.end()) breaks += own->second.breaks;
-  for (const auto& [entry, counts] : others_) {
+  const auto own = own_records_.find(fingerprint);
+  if (own != own_records_.end()) breaks += own->second.breaks;
+  for (const auto& [entry, counts] : peer_counts_) {
     const auto other = counts.find(fingerprint);
     if (other != counts.end()) breaks += other->second;
   }
   return breaks >= kBreaksToQuarantine;
 }
 
-std::vector<CrashCount> CrashLedger::Own() const {
+std::vector<CrashCount> CrashTracker::OwnCounts() const {
   std::vector<std::pair<TimePoint, CrashCount>> all;
-  all.reserve(own_.size());
-  for (const auto& [fingerprint, record] : own_) {
+  all.reserve(own_records_.size());
+  for (const auto& [fingerprint, record] : own_records_) {
     all.push_back({record.forget_at, {fingerprint, record.breaks}});
   }
   std::sort(all.begin(), all.end(), [](const auto& a, const auto& b) {
--- a/libs/serving/src/event_stream_reader.cc
+++ b/libs/serving/src/event_stream_reader.cc
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-size_t EventStreamReader::WholeEventLength() const {
+size_t EventStreamReader::CompleteEventLength() const {
   size_t at = offset_;
   while (true) {
     const size_t end = buffer_.find('\n', at);
@@ -52,7 +52,7 @@
 }
 
 std::optional<StreamEvent> EventStreamReader::Next() {
-  const size_t length = WholeEventLength();
+  const size_t length = CompleteEventLength();
   if (length == 0) {
     buffer_.erase(0, offset_);
     offset_ = 0;
--- a/libs/serving/src/job_book.cc
+++ b/libs/serving/src/job_table.cc
@@ -1,4 +1,4 @@
-#include "serving/job_book.h"
+#include "serving/job_table.h"
 
 #include <utility>
 
@@ -11,96 +11,97 @@
 
 }  // namespace
 
-void JobBook::AddJob(BatchJob&& job) {
+void JobTable::AddJob(BatchJob&& job) {
   if (jobs_.contains(job.id)) return;
   const std::string id = job.id;
   job.progress.resize(job.items.size());
   for (uint32_t i = 0; i < job.items.size(); ++i) {
     job.item_index.emplace(job.items[i].id, i);
   }
-  job.ended = early_ends_.contains(id);
+  job.ended = pending_ends_.contains(id);
   BatchJob& added = jobs_.emplace(id, std::move(job)).first->second;
-  TakeEarlyNotes(id);
-  auto early = early_.extract(id);
+  MergePendingUpdates(id);
+  auto early = pending_segments_.extract(id);
   if (early.empty()) return;
   for (auto& [number, results] : early.mapped()) {
     AddSegment(added.id, number, std::move(results));
   }
 }
 
-bool JobBook::AddSegment(const std::string& id, uint32_t number,
-                         std::vector<ItemResult>&& results) {
+bool JobTable::AddSegment(const std::string& id, uint32_t number,
+                          std::vector<ItemResult>&& results) {
   BatchJob* job = Find(id);
   if (!job || number > job->segments) {
-    early_[id].emplace(number, std::move(results));
+    pending_segments_[id].emplace(number, std::move(results));
     return false;
   }
   if (number < job->segments) return true;
-  Apply(*job, std::move(results));
-  const auto early = early_.find(id);
-  if (early == early_.end()) return true;
+  AppendSegment(*job, std::move(results));
+  const auto early = pending_segments_.find(id);
+  if (early == pending_segments_.end()) return true;
   while (true) {
     auto next = early->second.extract(job->segments);
     if (next.empty()) break;
-    Apply(*job, std::move(next.mapped()));
+    AppendSegment(*job, std::move(next.mapped()));
   }
-  if (early->second.empty()) early_.erase(early);
+  if (early->second.empty()) pending_segments_.erase(early);
   return true;
 }
 
-void JobBook::Apply(BatchJob& job, std::vector<ItemResult>&& results) {
+void JobTable::AppendSegment(BatchJob& job, std::vector<ItemResult>&& results) {
   ++job.segments;
   for (ItemResult& result : results) {
     const auto index = job.item_index.find(result.item);
     if (index != job.item_index.end()) {
       ItemProgress& progress = job.progress[index->second];
-      progress.phase = ItemPhase::kListed;
+      progress.phase = ItemPhase::kCommitted;
       progress.output.clear();
       progress.output.shrink_to_fit();
-      finished_[job.id].erase(index->second);
+      uncommitted_states_[job.id].erase(index->second);
     }
     job.results.push_back(std::move(result));
   }
-  if (job.complete()) finished_.erase(job.id);
+  if (job.complete()) uncommitted_states_.erase(job.id);
 }
 
-void JobBook::EndJob(const std::string& id) {
-  early_ends_[id] = true;
+void JobTable::EndJob(const std::string& id) {
+  pending_ends_[id] = true;
   if (BatchJob* job = Find(id)) job->ended = true;
 }
 
-void JobBook::Forget(const std::string& id) {
+void JobTable::RemoveJob(const std::string& id) {
   jobs_.erase(id);
-  early_.erase(id);
-  early_ends_.erase(id);
-  finished_.erase(id);
+  pending_segments_.erase(id);
+  pending_ends_.erase(id);
+  uncommitted_states_.erase(id);
 }
 
-void JobBook::SetRunning(const ItemRef& item) {
+void JobTable::SetRunning(const ItemRef& item) {
   BatchJob* job = Find(item.job);
   if (job) job->progress[item.index].phase = ItemPhase::kRunning;
 }
 
-void JobBook::SetWaiting(const ItemRef& item, TimePoint not_before) {
+void JobTable::SetWaiting(const ItemRef& item, TimePoint not_before) {
   BatchJob* job = Find(item.job);
   if (!job) return;
   ItemProgress& progress = job->progress[item.index];
-  if (progress.phase == ItemPhase::kListed) return;
+  if (progress.phase == ItemPhase::kCommitted) return;
   progress.phase = ItemPhase::kWaiting;
   progress.not_before = not_before;
 }
 
-void JobBook::SetFinished(const ItemRef& item, ItemState state) {
+void JobTable::SetFinished(const ItemRef& item, ItemState state) {
   BatchJob* job = Find(item.job);
   if (!job) return;
   ItemProgress& progress = job->progress[item.index];
-  if (progress.phase == ItemPhase::kListed) return;
+  if (progress.phase == ItemPhase::kCommitted) return;
   progress.phase = ItemPhase::kFinished;
-  finished_[item.job][item.index] = state;
+  uncommitted_states_[item.job][item.index] = state;
 }
 
-std::vector<ProgressNote> JobBook::TakeNotes(uint64_t step, size_t most_bytes) {
-  std::vector<ProgressNote> notes;
+std::vector<ProgressUpdate> JobTable::TakeProgressUpdates(uint64_t step,
+                                                          size_t most_bytes) {
+  std::vector<ProgressUpdate> notes;
   size_t bytes = 0;
   for (auto& [id, job] : jobs_) {
     if (!job.open()) continue;
@@ -122,28 +123,28 @@
   return notes;
 }
 
-void JobBook::TakeEarlyNotes(const std::string& id) {
-  auto early = early_notes_.extract(id);
+void JobTable::MergePendingUpdates(const std::string& id) {
+  auto early = pending_updates_.extract(id);
   if (early.empty()) return;
-  for (ProgressNote& note : early.mapped()) {
-    early_note_bytes_ -= note.output.size();
-    Offer(std::move(note));
+  for (ProgressUpdate& note : early.mapped()) {
+    pending_update_bytes_ -= note.output.size();
+    MergeProgress(std::move(note));
   }
 }
 
-void JobBook::Retell(std::string_view creator) {
+void JobTable::RepublishProgress(std::string_view creator) {
   for (auto& [id, job] : jobs_) {
     if (job.creator != creator) continue;
     for (ItemProgress& progress : job.progress) progress.published_event = 0;
   }
 }
 
-void JobBook::Offer(ProgressNote&& note) {
+void JobTable::MergeProgress(ProgressUpdate&& note) {
   BatchJob* job = Find(note.job);
   if (!job) {
-    if (early_note_bytes_ >= kMostEarlyNoteBytes) return;
-    early_note_bytes_ += note.output.size();
-    early_notes_[note.job].push_back(std::move(note));
+    if (pending_update_bytes_ >= kMostEarlyNoteBytes) return;
+    pending_update_bytes_ += note.output.size();
+    pending_updates_[note.job].push_back(std::move(note));
     return;
   }
   const auto index = job->item_index.find(note.item);
@@ -157,24 +158,24 @@
   progress.published_event = note.last_event;
 }
 
-const BatchJob* JobBook::Find(std::string_view id) const {
+const BatchJob* JobTable::Find(std::string_view id) const {
   const auto found = jobs_.find(id);
   return found == jobs_.end() ? nullptr : &found->second;
 }
 
-BatchJob* JobBook::Find(std::string_view id) {
+BatchJob* JobTable::Find(std::string_view id) {
   const auto found = jobs_.find(id);
   return found == jobs_.end() ? nullptr : &found->second;
 }
 
-bool JobBook::HasSegment(const std::string& id, uint32_t number) const {
+bool JobTable::HasSegment(const std::string& id, uint32_t number) const {
   const BatchJob* job = Find(id);
   if (job && number < job->segments) return true;
-  const auto early = early_.find(id);
-  return early != early_.end() && early->second.contains(number);
+  const auto early = pending_segments_.find(id);
+  return early != pending_segments_.end() && early->second.contains(number);
 }
 
-uint64_t JobBook::WaitingTokens(const QuotaScope& scope) const {
+uint64_t JobTable::WaitingTokens(const QuotaScope& scope) const {
   uint64_t tokens = 0;
   for (const auto& [id, job] : jobs_) {
     if (!job.open() || job.route != scope.route) continue;
@@ -182,14 +183,14 @@
     for (uint32_t i = 0; i < job.items.size(); ++i) {
       const ItemPhase phase = job.progress[i].phase;
       const bool done =
-          phase == ItemPhase::kListed || phase == ItemPhase::kFinished;
+          phase == ItemPhase::kCommitted || phase == ItemPhase::kFinished;
       if (!done) tokens += job.items[i].tokens;
     }
   }
   return tokens;
 }
 
-std::optional<ItemRef> JobBook::NextItem(
+std::optional<ItemRef> JobTable::NextItem(
     TimePoint now, TimePoint in_time,
     const std::function<bool(const BatchJob&)>& mine,
     const std::function<bool(const BatchItem&)>& free) const {
@@ -219,25 +220,26 @@
   return ItemRef{best->id, best_index};
 }
 
-std::map<std::string, std::vector<uint32_t>> JobBook::Orphans() const {
+std::map<std::string, std::vector<uint32_t>> JobTable::Orphans() const {
   std::map<std::string, std::vector<uint32_t>> orphans;
-  for (const auto& [id, segments] : early_) {
+  for (const auto& [id, segments] : pending_segments_) {
     if (jobs_.contains(id)) continue;
     for (const auto& [number, results] : segments) {
       orphans[id].push_back(number);
     }
   }
-  for (const auto& [id, ended] : early_ends_) {
+  for (const auto& [id, ended] : pending_ends_) {
     if (!jobs_.contains(id)) orphans.try_emplace(id);
   }
   return orphans;
 }
 
-std::vector<ItemResult> JobBook::Uncommitted(const std::string& id) const {
+std::vector<ItemResult> JobTable::UncommittedResults(
+    const std::string& id) const {
   std::vector<ItemResult> results;
   const BatchJob* job = Find(id);
-  const auto finished = finished_.find(id);
-  if (!job || finished == finished_.end()) return results;
+  const auto finished = uncommitted_states_.find(id);
+  if (!job || finished == uncommitted_states_.end()) return results;
   for (const auto& [index, state] : finished->second) {
     ItemResult result{.item = job->items[index].id, .state = state};
     if (state == ItemState::kCompleted) {
--- /dev/null
+++ b/libs/serving/src/quota_limiter.cc
@@ -0,0 +1,51 @@
+#include "serving/quota_limiter.h"
+
+#include <algorithm>
+
+namespace knapweedstile::serving {
+
+QuotaVerdict QuotaLimiter::Check(const QuotaScope& scope, uint64_t waiting,
+                                 uint64_t tokens, uint64_t limit,
+                                 size_t entries) const {
+  if (waiting + tokens > limit) return QuotaVerdict::kOverLimit;
+  uint64_t unacknowledged = 0;
+  for (const auto& [job, own] : unacknowledged_) {
+    if (own.scope == scope) unacknowledged += own.tokens;
+  }
+  if (unacknowledged == 0 || entries <= 1) return QuotaVerdict::kAccept;
+  const double share = kSharedOverage * static_cast<double>(limit) /
+                       static_cast<double>(entries);
+  return static_cast<double>(unacknowledged + tokens) <= share
+             ? QuotaVerdict::kAccept
+             : QuotaVerdict::kAwaitPeers;
+}
+
+void QuotaLimiter::Reserve(const std::string& job, const QuotaScope& scope,
+                           uint64_t tokens) {
+  unacknowledged_[job] = {.scope = scope, .tokens = tokens};
+}
+
+void QuotaLimiter::OnRecordWritten(const std::string& job, uint64_t number) {
+  const auto found = unacknowledged_.find(job);
+  if (found != unacknowledged_.end()) found->second.record_number = number;
+}
+
+void QuotaLimiter::Release(const std::string& job) {
+  unacknowledged_.erase(job);
+}
+
+void QuotaLimiter::OnWriteUncertain(const std::string& job,
+                                    TimePoint known_at) {
+  const auto found = unacknowledged_.find(job);
+  if (found != unacknowledged_.end()) found->second.expires_at = known_at;
+}
+
+void QuotaLimiter::OnAcknowledged(uint64_t number, TimePoint now) {
+  std::erase_if(unacknowledged_, [&](const auto& entry) {
+    const Reservation& own = entry.second;
+    const bool written = own.record_number != 0;
+    return written ? own.record_number <= number : own.expires_at <= now;
+  });
+}
+
+}  // namespace knapweedstile::serving
--- a/libs/serving/src/slot_board_batch.cc
+++ b/libs/serving/src/slot_scheduler_batch.cc
@@ -1,7 +1,7 @@
 #include <algorithm>
 
-#include "serving/slot_board.h"
-#include "slot_draw.h"
+#include "serving/slot_scheduler.h"
+#include "slot_scheduler_pick.h"
 
 // Room for batch items on the backend servers, and how it is shared.
 namespace knapweedstile::serving {
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-void SlotBoard::SetSharing(
+void SlotScheduler::SetSharing(
     BackendServerId id, const std::optional<decide::SharingPolicy>& sharing) {
   Server* server = FindServer(id);
   if (!server) return;
@@ -27,7 +27,7 @@
   server->sharing->rule = decide::MakeSharingRule(*sharing);
 }
 
-void SlotBoard::ObserveDemand(TimePoint now) {
+void SlotScheduler::ObserveDemand(TimePoint now) {
   if (now - demand_sampled_at_ < kDemandPeriod) return;
   demand_sampled_at_ = now;
   for (auto& [id, server] : servers_) {
@@ -35,7 +35,7 @@
   }
 }
 
-decide::BatchLimit SlotBoard::LimitOf(const Server& server) const {
+decide::BatchLimit SlotScheduler::LimitOf(const Server& server) const {
   const uint32_t slots = server.record.slots;
   if (!server.sharing) {
     const uint32_t most = slots - std::min(slots, settings_.batch_reserve);
@@ -45,10 +45,10 @@
                          server.sharing->demand.At(server.online()));
 }
 
-uint32_t SlotBoard::BatchRoom(const Server& server) const {
+uint32_t SlotScheduler::BatchHeadroom(const Server& server) const {
   const uint32_t slots = server.record.slots;
   const uint32_t usual =
-      server.near ? settings_.batch_reserve : settings_.far_batch_reserve;
+      server.in_cell ? settings_.batch_reserve : settings_.remote_batch_reserve;
   const uint32_t reserve = server.sharing ? 0 : usual;
   const uint32_t taken = server.total() + reserve;
   const uint32_t free = taken < slots ? slots - taken : 0;
@@ -56,39 +56,40 @@
   return server.batch() < most ? std::min(free, most - server.batch()) : 0;
 }
 
-BackendServerId SlotBoard::PlaceBatch(std::string_view service,
-                                      std::span<const BackendServerId> excluded,
-                                      TimePoint now) {
-  for (const Reach reach : {Reach::kCell, Reach::kBeyond}) {
+BackendServerId SlotScheduler::PlaceBatch(
+    std::string_view service, std::span<const BackendServerId> excluded,
+    TimePoint now) {
+  for (const Reach reach : {Reach::kSameCell, Reach::kOtherCell}) {
     const auto room = [this, reach](const Server& server) {
-      if (!Within(server, reach)) return 0.0;
-      return BatchRoom(server) * ZoneFactor(server);
+      if (!HasLocality(server, reach)) return 0.0;
+      return BatchHeadroom(server) * ZoneFactor(server);
     };
-    const Server* server = Draw(service, excluded, now, room);
+    const Server* server = PickWeighted(service, excluded, now, room);
     if (server) return server->id;
   }
   return {};
 }
 
-double SlotBoard::RoomFor(std::string_view service, Reach reach,
-                          TimePoint now) const {
+double SlotScheduler::TotalBatchHeadroom(std::string_view service, Reach reach,
+                                         TimePoint now) const {
   uint32_t room = 0;
   for (const auto& [id, server] : servers_) {
-    if (!Within(server, reach) || !Usable(server, service, {})) continue;
-    if (server.avoid_until <= now) room += BatchRoom(server);
+    if (!HasLocality(server, reach) || !Usable(server, service, {})) continue;
+    if (server.backoff_until <= now) room += BatchHeadroom(server);
   }
   return room;
 }
 
-uint32_t SlotBoard::BatchBudget(std::string_view service, size_t entries,
-                                TimePoint now) const {
+uint32_t SlotScheduler::BatchBudget(std::string_view service, size_t entries,
+                                    TimePoint now) const {
   const size_t all = std::max<size_t>(entries, 1);
   const size_t near =
-      entries_in_cell_ == 0 ? all : std::min(all, entries_in_cell_);
+      gateways_in_cell_ == 0 ? all : std::min(all, gateways_in_cell_);
   constexpr double kMostOfRoom = 0.5;
-  const double share =
-      RoomFor(service, Reach::kCell, now) / static_cast<double>(near) +
-      RoomFor(service, Reach::kBeyond, now) / static_cast<double>(all);
+  const double share = TotalBatchHeadroom(service, Reach::kSameCell, now) /
+                           static_cast<double>(near) +
+                       TotalBatchHeadroom(service, Reach::kOtherCell, now) /
+                           static_cast<double>(all);
   return 1 + static_cast<uint32_t>(kMostOfRoom * share);
 }
 
@@ -96,33 +97,34 @@
 // milliseconds, and one of the two requests waits until something ends there,
 // half a second beside batch items. Entries with items there draw lots, so that
 // in the mean one item gives way for each request that waits.
-std::vector<BackendServerId> SlotBoard::BatchInTheWay(TimePoint now) {
+std::vector<BackendServerId> SlotScheduler::ServersToPreempt(TimePoint now) {
   std::vector<BackendServerId> chosen;
   for (auto& [id, server] : servers_) {
     if (server.total() <= server.record.slots) {
-      server.excess_since = kNever;
+      server.oversubscribed_since = kNever;
       continue;
     }
-    server.excess_since = std::min(server.excess_since, now);
-    if (now - server.excess_since < settings_.excess_patience) continue;
-    if (server.own.batch == 0 || server.online() == 0) continue;
+    server.oversubscribed_since = std::min(server.oversubscribed_since, now);
+    if (now - server.oversubscribed_since < settings_.oversubscription_grace)
+      continue;
+    if (server.own_usage.batch == 0 || server.online() == 0) continue;
     const double excess = server.total() - server.record.slots;
-    const double share = excess * server.own.batch / server.batch();
+    const double share = excess * server.own_usage.batch / server.batch();
     if (UniformUnit(rng_) < share) chosen.push_back(id);
   }
   return chosen;
 }
 
-std::vector<BackendServerId> SlotBoard::BatchBeyondSharing() const {
+std::vector<BackendServerId> SlotScheduler::ServersOverBatchLimit() const {
   std::vector<BackendServerId> beyond;
   for (const auto& [id, server] : servers_) {
-    if (!server.sharing || server.own.batch == 0) continue;
+    if (!server.sharing || server.own_usage.batch == 0) continue;
     if (server.batch() > LimitOf(server).keep) beyond.push_back(id);
   }
   return beyond;
 }
 
-std::string_view SlotBoard::SharingName(BackendServerId id) const {
+std::string_view SlotScheduler::SharingPolicyName(BackendServerId id) const {
   const auto found = servers_.find(id);
   const bool named = found != servers_.end() && found->second.sharing;
   if (!named) return kBuiltIn;
--- a/libs/serving/src/slot_draw.h
+++ b/libs/serving/src/slot_scheduler_pick.h
@@ -1,18 +1,18 @@
-#ifndef KNAPWEEDSTILE_SERVING_SLOT_DRAW_H_
-#define KNAPWEEDSTILE_SERVING_SLOT_DRAW_H_
+#ifndef KNAPWEEDSTILE_SERVING_SLOT_SCHEDULER_PICK_H_
+#define KNAPWEEDSTILE_SERVING_SLOT_SCHEDULER_PICK_H_
 
-#include "serving/slot_board.h"
+#include "serving/slot_scheduler.h"
 
 namespace knapweedstile::serving {
 
 template <typename Weight>
-SlotBoard::Server* SlotBoard::Draw(std::string_view service,
-                                   std::span<const BackendServerId> excluded,
-                                   TimePoint now, Weight weight) {
+SlotScheduler::Server* SlotScheduler::PickWeighted(
+    std::string_view service, std::span<const BackendServerId> excluded,
+    TimePoint now, Weight weight) {
   Server* drawn = nullptr;
   double sum = 0;
   for (auto& [id, server] : servers_) {
-    if (!Usable(server, service, excluded) || server.avoid_until > now) {
+    if (!Usable(server, service, excluded) || server.backoff_until > now) {
       continue;
     }
     const double share = weight(server);
@@ -27,4 +27,4 @@
 
 }  // namespace knapweedstile::serving
 
-#endif  // KNAPWEEDSTILE_SERVING_SLOT_DRAW_H_
+#endif  // KNAPWEEDSTILE_SERVING_SLOT_SCHEDULER_PICK_H_
--- /dev/null
+++ b/libs/serving/src/slot_scheduler_reports.cc
@@ -0,0 +1,78 @@
+#include <string>
+#include <vector>
+
+#include "serving/slot_scheduler.h"
+
+// What other entries tell of their use of the backend servers.
+namespace knapweedstile::serving {
+
+void SlotScheduler::SetPeerUsage(const std::string& entry,
+                                 const UsageByProcess& usage, TimePoint now) {
+  PeerReport& report = peer_reports_[entry];
+  report.expires_at = now + settings_.report_lifetime;
+  std::vector<ServerProcessId> idle;
+  for (const auto& [process, known] : report.usage) {
+    if (!usage.contains(process)) idle.push_back(process);
+  }
+  for (const ServerProcessId process : idle)
+    ApplyUsage(report, process, {}, now);
+  for (const auto& [process, counts] : usage)
+    ApplyUsage(report, process, counts, now);
+}
+
+void SlotScheduler::UpdatePeerUsage(const std::string& entry,
+                                    const UsageByProcess& changed,
+                                    TimePoint now) {
+  PeerReport& report = peer_reports_[entry];
+  report.expires_at = now + settings_.report_lifetime;
+  for (const auto& [process, counts] : changed) {
+    ApplyUsage(report, process, counts, now);
+  }
+}
+
+SlotScheduler::Server* SlotScheduler::FindProcess(ServerProcessId process) {
+  const auto known = by_process_.find(process);
+  return known == by_process_.end() ? nullptr : FindServer(known->second);
+}
+
+void SlotScheduler::ApplyUsage(PeerReport& report, ServerProcessId process,
+                               ServerUsage usage, TimePoint now) {
+  ServerUsage& reported = report.usage[process];
+  if (Server* server = FindProcess(process)) {
+    if (server->in_cell && usage.online > reported.online) {
+      peer_start_rate_[server->record.service].Add(
+          usage.online - reported.online, now);
+    }
+    server->peer_usage.online += usage.online - reported.online;
+    server->peer_usage.batch += usage.batch - reported.batch;
+  }
+  reported = usage;
+  if (usage.total() == 0) report.usage.erase(process);
+}
+
+void SlotScheduler::RemovePeer(const std::string& entry) {
+  if (peer_reports_.erase(entry) > 0) SumPeerUsage();
+}
+
+// Failure guarded against: an entry that died keeps its slots counted as taken
+// for ever, so the fleet looks fuller than it is. Its silence drops them.
+void SlotScheduler::ExpirePeerReports(TimePoint now) {
+  const size_t dropped = std::erase_if(peer_reports_, [now](const auto& r) {
+    return r.second.expires_at <= now;
+  });
+  if (dropped > 0) SumPeerUsage();
+}
+
+void SlotScheduler::SumPeerUsage() {
+  for (auto& [id, server] : servers_) server.peer_usage = {};
+  for (const auto& [entry, report] : peer_reports_) {
+    for (const auto& [process, usage] : report.usage) {
+      Server* server = FindProcess(process);
+      if (!server) continue;
+      server->peer_usage.online += usage.online;
+      server->peer_usage.batch += usage.batch;
+    }
+  }
+}
+
+}  // namespace knapweedstile::serving
--- a/libs/serving/tests/fleet_model.h
+++ b/libs/serving/tests/fleet_model.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "base/rng.h"
-#include "serving/slot_board.h"
+#include "serving/slot_scheduler.h"
 
 namespace knapweedstile::serving {
 
@@ -22,7 +22,7 @@
  public:
   struct Settings {
     uint64_t seed = 1;
-    int entries = 8;
+    int gateways = 8;
     int servers = 16;
     int zones = 3;
     uint32_t slots = 8;
@@ -35,42 +35,42 @@
     double peak_seconds = 2.2;
     bool batch = true;  // an endless supply of items
     double withdraw_seconds = 0.09;
-    bool give_way = true;  // items leave where online requests wait
+    bool preempt_batch = true;  // items leave where online requests wait
     // An entry tells its usage this often, and it is known this much later.
-    double share_every = 0.008;
-    double share_delay = 0.01;
+    double report_interval = 0.008;
+    double report_delay = 0.01;
     // Each zone is a cell: its entries are told of its servers as above, and of
     // all others four times a second.
     bool cells = false;
     double run_seconds = 30;
     double objective_seconds = 0.3;
-    SlotBoardSettings board;
+    SlotSchedulerSettings scheduler;
     // Instead of the board's rule: the least used server as the entry sees it.
     bool least_used_rule = false;
   };
   struct Outcome {
     int online = 0;
     int late = 0;  // waited for longer than half the objective
-    int refused = 0;
+    int rejected = 0;
     double batch_slot_seconds = 0;
     double mean_wait = 0;
   };
 
   explicit FleetModel(const Settings& settings)
       : settings_(settings), rng_(settings.seed), servers_(settings.servers) {
-    for (int e = 0; e < settings.entries; ++e) {
-      boards_.push_back(std::make_unique<SlotBoard>(settings.board, Zone(e),
-                                                    settings.seed + e));
+    for (int e = 0; e < settings.gateways; ++e) {
+      schedulers_.push_back(std::make_unique<SlotScheduler>(
+          settings.scheduler, Zone(e), settings.seed + e));
       if (settings.cells) {
-        boards_[e]->SetCell({.availability_zone = Zone(e)},
-                            settings.entries / settings.zones);
+        schedulers_[e]->SetCell({.availability_zone = Zone(e)},
+                                settings.gateways / settings.zones);
       }
       for (int s = 0; s < settings.servers; ++s) {
-        boards_[e]->Upsert({.instance = Name(s),
-                            .service = "llm",
-                            .address = "a",
-                            .availability_zone = Zone(s),
-                            .slots = settings.slots});
+        schedulers_[e]->Upsert({.instance = Name(s),
+                                .service = "llm",
+                                .address = "a",
+                                .availability_zone = Zone(s),
+                                .slots = settings.slots});
       }
     }
   }
@@ -86,19 +86,19 @@
         Finish(event);
       }
       if (now_ >= next_share) {
-        Share(!settings_.cells);
-        next_share = now_ + settings_.share_every;
+        SendReports(!settings_.cells);
+        next_share = now_ + settings_.report_interval;
       }
       if (settings_.cells && now_ >= next_whole) {
-        Share(true);
-        next_whole = now_ + kWholeEvery;
+        SendReports(true);
+        next_whole = now_ + kFullReportInterval;
       }
       while (next_arrival <= now_) {
         Arrive();
         next_arrival += -std::log(1 - UniformUnit(rng_)) / Rate();
       }
       if (settings_.batch) StartBatch();
-      if (settings_.batch && settings_.give_way) GiveWay();
+      if (settings_.batch && settings_.preempt_batch) PreemptBatch();
     }
     if (outcome_.online > 0) outcome_.mean_wait /= outcome_.online;
     return outcome_;
@@ -106,10 +106,10 @@
 
  private:
   static constexpr double kStep = 0.001;
-  static constexpr double kWholeEvery = 0.25;
+  static constexpr double kFullReportInterval = 0.25;
 
   struct Request {
-    int entry = 0;
+    int gateway = 0;
     bool online = true;
     double sent_at = 0;
     double began_at = -1;
@@ -128,7 +128,7 @@
   struct Message {
     double at;
     int from;
-    bool whole;
+    bool full;
     UsageByProcess usage;
   };
 
@@ -145,13 +145,13 @@
   }
 
   int Index(int entry, BackendServerId id) const {
-    return std::stoi(boards_[entry]->Record(id)->instance.substr(2));
+    return std::stoi(schedulers_[entry]->Record(id)->instance.substr(2));
   }
 
-  void Share(bool whole) {
-    for (int e = 0; e < settings_.entries; ++e) {
-      messages_.push_back(
-          {now_ + settings_.share_delay, e, whole, boards_[e]->OwnUsage()});
+  void SendReports(bool whole) {
+    for (int e = 0; e < settings_.gateways; ++e) {
+      messages_.push_back({now_ + settings_.report_delay, e, whole,
+                           schedulers_[e]->OwnUsage()});
     }
     Deliver();
   }
@@ -159,7 +159,7 @@
   void Deliver() {
     while (!messages_.empty() && messages_.front().at <= now_) {
       const Message& message = messages_.front();
-      for (int e = 0; e < settings_.entries; ++e) {
+      for (int e = 0; e < settings_.gateways; ++e) {
         if (e != message.from) Deliver(message, e);
       }
       messages_.pop_front();
@@ -168,8 +168,8 @@
 
   void Deliver(const Message& message, int entry) {
     const std::string from = std::to_string(message.from);
-    if (message.whole) {
-      return boards_[entry]->ReportEntry(from, message.usage, Now());
+    if (message.full) {
+      return schedulers_[entry]->SetPeerUsage(from, message.usage, Now());
     }
     UsageByProcess of_cell;
     for (int s = entry % settings_.zones; s < settings_.servers;
@@ -179,15 +179,15 @@
       of_cell[process] =
           usage == message.usage.end() ? ServerUsage() : usage->second;
     }
-    boards_[entry]->UpdateEntry(from, of_cell, Now());
+    schedulers_[entry]->UpdatePeerUsage(from, of_cell, Now());
   }
 
   BackendServerId LeastUsed(int entry) {
     BackendServerId best;
     for (int s = 0; s < settings_.servers; ++s) {
-      const BackendServerId id = boards_[entry]->Find(Name(s));
-      if (!best || boards_[entry]->UsageOf(id).total() <
-                       boards_[entry]->UsageOf(best).total()) {
+      const BackendServerId id = schedulers_[entry]->Find(Name(s));
+      if (!best || schedulers_[entry]->UsageOf(id).total() <
+                       schedulers_[entry]->UsageOf(best).total()) {
         best = id;
       }
     }
@@ -195,47 +195,49 @@
   }
 
   void Arrive() {
-    const int entry = static_cast<int>(UniformBelow(rng_, settings_.entries));
+    const int entry = static_cast<int>(UniformBelow(rng_, settings_.gateways));
     ++outcome_.online;
     if (settings_.least_used_rule) {
       return Send(entry, LeastUsed(entry), true);
     }
-    const Placement placement = boards_[entry]->PlaceOnline(
+    const Placement placement = schedulers_[entry]->PlaceOnline(
         "llm", FromSeconds(settings_.objective_seconds), {}, Now());
     if (placement.outcome != PlacementOutcome::kPlaced) {
-      ++outcome_.refused;
+      ++outcome_.rejected;
       return;
     }
-    if (placement.displaces_batch) {
-      const int owner = placement.displaced_entry.empty()
+    if (placement.preempts_batch) {
+      const int owner = placement.preempted_peer.empty()
                             ? entry
-                            : std::stoi(placement.displaced_entry);
+                            : std::stoi(placement.preempted_peer);
       CancelBatch(owner, Index(entry, placement.server));
     }
     Send(entry, placement.server, true);
   }
 
   void StartBatch() {
-    for (int entry = 0; entry < settings_.entries; ++entry) {
-      const double phase = 0.025 * entry / settings_.entries;
+    for (int entry = 0; entry < settings_.gateways; ++entry) {
+      const double phase = 0.025 * entry / settings_.gateways;
       if (std::fmod(now_ + phase, 0.025) >= kStep) continue;
       WithdrawQueued(entry);
       uint32_t budget =
-          boards_[entry]->BatchBudget("llm", settings_.entries, Now());
+          schedulers_[entry]->BatchBudget("llm", settings_.gateways, Now());
       while (budget-- > 0) {
-        const BackendServerId id = boards_[entry]->PlaceBatch("llm", {}, Now());
+        const BackendServerId id =
+            schedulers_[entry]->PlaceBatch("llm", {}, Now());
         if (!id) break;
         Send(entry, id, false);
       }
     }
   }
 
-  void GiveWay() {
+  void PreemptBatch() {
     constexpr double kEvery = 0.02;
-    for (int entry = 0; entry < settings_.entries; ++entry) {
-      const double phase = kEvery * entry / settings_.entries;
+    for (int entry = 0; entry < settings_.gateways; ++entry) {
+      const double phase = kEvery * entry / settings_.gateways;
       if (std::fmod(now_ + phase, kEvery) >= kStep) continue;
-      for (const BackendServerId id : boards_[entry]->BatchInTheWay(Now())) {
+      for (const BackendServerId id :
+           schedulers_[entry]->ServersToPreempt(Now())) {
         CancelBatch(entry, Index(entry, id));
       }
     }
@@ -245,13 +247,14 @@
   void WithdrawQueued(int entry) {
     for (int index = 0; index < settings_.servers; ++index) {
       for (const auto& request : servers_[index].queue) {
-        if (request->online || request->cancelled || request->entry != entry ||
+        if (request->online || request->cancelled ||
+            request->gateway != entry ||
             now_ - request->sent_at < settings_.withdraw_seconds) {
           continue;
         }
         request->cancelled = true;
-        boards_[entry]->Ended(boards_[entry]->Find(Name(index)),
-                              TrafficClass::kBatch);
+        schedulers_[entry]->OnRequestEnded(
+            schedulers_[entry]->Find(Name(index)), TrafficClass::kBatch);
         break;
       }
     }
@@ -259,8 +262,8 @@
 
   void Send(int entry, BackendServerId id, bool online) {
     auto request = std::make_shared<Request>(
-        Request{.entry = entry, .online = online, .sent_at = now_});
-    boards_[entry]->Started(
+        Request{.gateway = entry, .online = online, .sent_at = now_});
+    schedulers_[entry]->OnRequestStarted(
         id, online ? TrafficClass::kOnline : TrafficClass::kBatch);
     const int server = Index(entry, id);
     servers_[server].queue.push_back(std::move(request));
@@ -288,8 +291,8 @@
   }
 
   void Leave(int index, const std::shared_ptr<Request>& request) {
-    boards_[request->entry]->Ended(
-        boards_[request->entry]->Find(Name(index)),
+    schedulers_[request->gateway]->OnRequestEnded(
+        schedulers_[request->gateway]->Find(Name(index)),
         request->online ? TrafficClass::kOnline : TrafficClass::kBatch);
     if (!request->online && request->began_at >= 0) {
       outcome_.batch_slot_seconds += now_ - request->began_at;
@@ -301,8 +304,8 @@
   void Finish(const Event& event) {
     if (event.request->cancelled) return;
     if (event.request->online) {
-      boards_[event.request->entry]->ObserveDuration(
-          boards_[event.request->entry]->Find(Name(event.server)),
+      schedulers_[event.request->gateway]->ObserveDuration(
+          schedulers_[event.request->gateway]->Find(Name(event.server)),
           FromSeconds(now_ - event.request->sent_at));
     }
     Leave(event.server, event.request);
@@ -311,18 +314,18 @@
   void CancelBatch(int entry, int index) {
     Server& server = servers_[index];
     for (const auto& request : server.running) {
-      if (request->online || request->entry != entry) continue;
+      if (request->online || request->gateway != entry) continue;
       const auto kept = request;
       kept->cancelled = true;
       return Leave(index, kept);
     }
     for (const auto& request : server.queue) {
-      if (request->online || request->entry != entry || request->cancelled) {
+      if (request->online || request->gateway != entry || request->cancelled) {
         continue;
       }
       request->cancelled = true;
-      boards_[entry]->Ended(boards_[entry]->Find(Name(index)),
-                            TrafficClass::kBatch);
+      schedulers_[entry]->OnRequestEnded(schedulers_[entry]->Find(Name(index)),
+                                         TrafficClass::kBatch);
       return;
     }
   }
@@ -330,7 +333,7 @@
   Settings settings_;
   Rng rng_;
   double now_ = 0;
-  std::vector<std::unique_ptr<SlotBoard>> boards_;
+  std::vector<std::unique_ptr<SlotScheduler>> schedulers_;
   std::vector<Server> servers_;
   std::priority_queue<Event> events_;
   std::deque<Message> messages_;
--- a/libs/serving/tests/job_book_test.cc
+++ b/libs/serving/tests/job_table_test.cc
@@ -1,4 +1,4 @@
-#include "serving/job_book.h"
+#include "serving/job_table.h"
 
 #include <catch2/catch.hpp>
 #include <map>
@@ -27,7 +27,7 @@
   return {{.item = item, .output = "text of " + item}};
 }
 
-std::string NextJob(const JobBook& book) {
+std::string NextJob(const JobTable& book) {
   const auto item = book.NextItem(
       kNow, kNow + seconds(4), [](const BatchJob&) { return true; },
       [](const BatchItem&) { return true; });
@@ -39,7 +39,7 @@
 // After an outage more jobs wait than there is room for. Working on the oldest
 // first, which is late already, would make each of them late in turn.
 TEST_CASE("jobs that can still be in time go before overdue ones") {
-  JobBook book;
+  JobTable book;
   book.AddJob(MakeJob("overdue", 1, seconds(1)));
   book.AddJob(MakeJob("later", 1, seconds(15)));
   book.AddJob(MakeJob("soon", 1, seconds(8)));
@@ -51,7 +51,7 @@
 }
 
 TEST_CASE("segments that come early wait for those before them") {
-  JobBook book;
+  JobTable book;
   CHECK_FALSE(book.AddSegment("a", 1, ResultOf("a1")));
   book.AddJob(MakeJob("a", 3, seconds(9)));
   CHECK(book.Find("a")->results.empty());
@@ -65,7 +65,7 @@
 }
 
 TEST_CASE("an end that comes before its job holds") {
-  JobBook book;
+  JobTable book;
   book.EndJob("a");
   book.AddJob(MakeJob("a", 3, seconds(9)));
   CHECK_FALSE(book.Find("a")->open());
@@ -73,17 +73,17 @@
 }
 
 TEST_CASE("an item that another entry committed is not committed again") {
-  JobBook book;
+  JobTable book;
   book.AddJob(MakeJob("a", 2, seconds(9)));
   book.SetFinished({"a", 0}, ItemState::kCompleted);
   book.SetFinished({"a", 1}, ItemState::kCompleted);
-  REQUIRE(book.Uncommitted("a").size() == 2);
+  REQUIRE(book.UncommittedResults("a").size() == 2);
   book.AddSegment("a", 0, ResultOf("a0"));
-  REQUIRE(book.Uncommitted("a").size() == 1);
-  CHECK(book.Uncommitted("a").front().item == "a1");
+  REQUIRE(book.UncommittedResults("a").size() == 1);
+  CHECK(book.UncommittedResults("a").front().item == "a1");
   // Its own late run ends afterwards.
   book.SetFinished({"a", 0}, ItemState::kCompleted);
-  CHECK(book.Uncommitted("a").size() == 1);
+  CHECK(book.UncommittedResults("a").size() == 1);
 }
 
 // Two entries believe that they own the same jobs, run the same items, and race
@@ -94,10 +94,10 @@
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     Rng rng(seed);
     std::map<uint32_t, std::vector<ItemResult>> store;
-    JobBook books[2];
+    JobTable books[2];
     std::vector<uint32_t> unread[2];
     constexpr int kItems = 8;
-    for (JobBook& book : books) book.AddJob(MakeJob("a", kItems, seconds(9)));
+    for (JobTable& book : books) book.AddJob(MakeJob("a", kItems, seconds(9)));
     const auto read_one = [&](int who) {
       if (unread[who].empty()) return;
       const size_t at = UniformBelow(rng, unread[who].size());
@@ -107,7 +107,7 @@
       books[who].AddSegment("a", number, std::move(copy));
     };
     const auto commit = [&](int who) {
-      auto results = books[who].Uncommitted("a");
+      auto results = books[who].UncommittedResults("a");
       if (results.empty()) return;
       const uint32_t number = books[who].Find("a")->segments;
       if (!store.contains(number)) {
@@ -150,71 +150,73 @@
 // running for seconds. Who takes them over has been told how far they were and
 // goes on from there, instead of running them again from their start.
 TEST_CASE("another entry goes on with an item where it was told of it") {
-  JobBook first;
-  JobBook second;
+  JobTable first;
+  JobTable second;
   first.AddJob(MakeJob("j", 2, seconds(18)));
   second.AddJob(MakeJob("j", 2, seconds(18)));
   ItemProgress& progress = first.Find("j")->progress[0];
   progress.phase = ItemPhase::kRunning;
   progress.last_event = 20;
   progress.output = "twenty events";
-  CHECK(first.TakeNotes(32, 1000).empty());
-  auto notes = first.TakeNotes(16, 1000);
+  CHECK(first.TakeProgressUpdates(32, 1000).empty());
+  auto notes = first.TakeProgressUpdates(16, 1000);
   REQUIRE(notes.size() == 1);
-  CHECK(first.TakeNotes(1, 1000).empty());
-  second.Offer(std::move(notes[0]));
+  CHECK(first.TakeProgressUpdates(1, 1000).empty());
+  second.MergeProgress(std::move(notes[0]));
   const ItemProgress& known = second.Find("j")->progress[0];
   CHECK(known.last_event == 20);
   CHECK(known.output == "twenty events");
   // It is not told on and on.
-  CHECK(second.TakeNotes(1, 1000).empty());
+  CHECK(second.TakeProgressUpdates(1, 1000).empty());
   // An older note, and one for an item that runs here, change nothing.
-  second.Offer({.job = "j", .item = "j0", .last_event = 10, .output = "ten"});
+  second.MergeProgress(
+      {.job = "j", .item = "j0", .last_event = 10, .output = "ten"});
   CHECK(known.last_event == 20);
   second.SetRunning({"j", 0});
-  second.Offer(
+  second.MergeProgress(
       {.job = "j", .item = "j0", .last_event = 30, .output = "thirty"});
   CHECK(known.last_event == 20);
-  second.Offer({.job = "other", .item = "j0", .last_event = 9});
+  second.MergeProgress({.job = "other", .item = "j0", .last_event = 9});
 }
 
 // An entry crashes and is back before its jobs are taken over. What it had told
 // of its items must come back to it, also while it still reads its records.
 TEST_CASE("an entry that has lost its memory is told what it had told") {
-  JobBook standby;
+  JobTable standby;
   BatchJob job = MakeJob("j", 2, seconds(18));
   job.creator = "entry-1";
   standby.AddJob(BatchJob(job));
-  standby.Offer({.job = "j", .item = "j1", .last_event = 40, .output = "40"});
-  REQUIRE(standby.TakeNotes(16, 1000).empty());
-  standby.Retell("entry-2");
-  REQUIRE(standby.TakeNotes(16, 1000).empty());
-  standby.Retell("entry-1");
-  auto notes = standby.TakeNotes(16, 1000);
+  standby.MergeProgress(
+      {.job = "j", .item = "j1", .last_event = 40, .output = "40"});
+  REQUIRE(standby.TakeProgressUpdates(16, 1000).empty());
+  standby.RepublishProgress("entry-2");
+  REQUIRE(standby.TakeProgressUpdates(16, 1000).empty());
+  standby.RepublishProgress("entry-1");
+  auto notes = standby.TakeProgressUpdates(16, 1000);
   REQUIRE(notes.size() == 1);
-  JobBook restarted;
-  restarted.Offer(std::move(notes[0]));
+  JobTable restarted;
+  restarted.MergeProgress(std::move(notes[0]));
   restarted.AddJob(std::move(job));
   CHECK(restarted.Find("j")->progress[1].last_event == 40);
   CHECK(restarted.Find("j")->progress[1].output == "40");
 }
 
 TEST_CASE("notes are bounded in bytes and come with the next call") {
-  JobBook book;
+  JobTable book;
   book.AddJob(MakeJob("j", 3, seconds(18)));
   for (ItemProgress& progress : book.Find("j")->progress) {
     progress.last_event = 5;
     progress.output = std::string(600, 'x');
   }
-  CHECK(book.TakeNotes(1, 1000).size() == 1);
-  CHECK(book.TakeNotes(1, 1300).size() == 2);
-  CHECK(book.TakeNotes(1, 1300).empty());
+  CHECK(book.TakeProgressUpdates(1, 1000).size() == 1);
+  CHECK(book.TakeProgressUpdates(1, 1300).size() == 2);
+  CHECK(book.TakeProgressUpdates(1, 1300).empty());
 }
 
 // An entry reads its records again every few seconds; those that it knows are
 // not to be decoded once more, also while an earlier one is missing.
 TEST_CASE("a segment that is known is told from a new one") {
-  JobBook book;
+  JobTable book;
   CHECK_FALSE(book.HasSegment("a", 0));
   book.AddSegment("a", 1, ResultOf("a1"));
   CHECK(book.HasSegment("a", 1));
--- a/libs/serving/tests/quota_guard_test.cc
+++ b/libs/serving/tests/quota_limiter_test.cc
@@ -1,4 +1,4 @@
-#include "serving/quota_guard.h"
+#include "serving/quota_limiter.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -30,11 +30,11 @@
       : load_(load), by_own_view_only_(by_own_view_only) {}
 
   uint64_t Run() {
-    std::vector<QuotaGuard> guards(load_.entries);
+    std::vector<QuotaLimiter> guards(load_.entries);
     for (int step = 0; step < 100; ++step) {
       const TimePoint now = kNow + milliseconds(step * 10);
       for (size_t entry = 0; entry < load_.entries; ++entry) {
-        guards[entry].Heard(HeardOf(entry, now), now);
+        guards[entry].OnAcknowledged(HeardOf(entry, now), now);
       }
       for (int job = 0; job < load_.jobs_a_step; ++job) {
         const size_t entry = static_cast<size_t>(job) % load_.entries;
@@ -65,7 +65,7 @@
     }
     return heard;
   }
-  void Submit(size_t entry, QuotaGuard& guard, TimePoint now) {
+  void Submit(size_t entry, QuotaLimiter& guard, TimePoint now) {
     uint64_t waiting = load_.waiting;
     uint64_t number = 1;
     for (const Accepted& job : accepted_) {
@@ -74,12 +74,12 @@
     }
     const bool fits = by_own_view_only_
                           ? waiting + kJob <= kLimit
-                          : guard.Judge(kScope, waiting, kJob, kLimit,
-                                        load_.entries) == QuotaVerdict::kFits;
+                          : guard.Check(kScope, waiting, kJob, kLimit,
+                                        load_.entries) == QuotaVerdict::kAccept;
     if (!fits) return;
     const std::string job = "job-" + std::to_string(accepted_.size());
-    guard.Take(job, kScope, kJob);
-    guard.Written(job, number);
+    guard.Reserve(job, kScope, kJob);
+    guard.OnRecordWritten(job, number);
     accepted_.push_back({now, entry, number});
   }
 
@@ -150,26 +150,25 @@
 }
 
 TEST_CASE("a single job is not refused for the entries that might compete") {
-  const QuotaGuard guard;
-  CHECK(guard.Judge(kScope, kLimit - kJob, kJob, kLimit, 18) ==
-        QuotaVerdict::kFits);
-  CHECK(guard.Judge(kScope, kLimit - kJob + 1, kJob, kLimit, 18) ==
-        QuotaVerdict::kOver);
+  const QuotaLimiter guard;
+  CHECK(guard.Check(kScope, kLimit - kJob, kJob, kLimit, 18) ==
+        QuotaVerdict::kAccept);
+  CHECK(guard.Check(kScope, kLimit - kJob + 1, kJob, kLimit, 18) ==
+        QuotaVerdict::kOverLimit);
   // Even one that is larger than an entry's share of everything.
-  CHECK(guard.Judge(kScope, 0, kLimit, kLimit, 18) == QuotaVerdict::kFits);
+  CHECK(guard.Check(kScope, 0, kLimit, kLimit, 18) == QuotaVerdict::kAccept);
 }
 
 // A write to the store gets no answer: the job may be there. It counts against
 // the share until every entry has read the store.
 TEST_CASE("a job that may have been written is not forgotten") {
-  QuotaGuard guard;
-  guard.Take("job-a", kScope, kLimit / 2);
-  guard.Unsure("job-a", kNow + milliseconds(100));
-  guard.Heard(100, kNow);
-  CHECK(guard.Judge(kScope, 0, kJob, kLimit, 2) ==
-        QuotaVerdict::kUnacknowledged);
-  guard.Heard(100, kNow + milliseconds(100));
-  CHECK(guard.Judge(kScope, 0, kJob, kLimit, 2) == QuotaVerdict::kFits);
+  QuotaLimiter guard;
+  guard.Reserve("job-a", kScope, kLimit / 2);
+  guard.OnWriteUncertain("job-a", kNow + milliseconds(100));
+  guard.OnAcknowledged(100, kNow);
+  CHECK(guard.Check(kScope, 0, kJob, kLimit, 2) == QuotaVerdict::kAwaitPeers);
+  guard.OnAcknowledged(100, kNow + milliseconds(100));
+  CHECK(guard.Check(kScope, 0, kJob, kLimit, 2) == QuotaVerdict::kAccept);
 }
 
 }  // namespace knapweedstile::serving
--- a/libs/serving/tests/return_time_test.cc
+++ b/libs/serving/tests/retry_after_policy_test.cc
@@ -1,4 +1,4 @@
-#include "serving/return_time.h"
+#include "serving/retry_after_policy.h"
 
 #include <catch2/catch.hpp>
 #include <functional>
@@ -63,10 +63,10 @@
 // away again and give up.
 TEST_CASE("callers return when a burst is over, not into it") {
   Rng rng(1);
-  ReturnTime times(1);
+  RetryAfterPolicy times(1);
   const auto by_queue = Replay([&] { return 0.3 * (0.5 + UniformUnit(rng)); });
   const auto by_patience = Replay([&] {
-    return ToSeconds(times.For(FromSeconds(kPatience), milliseconds(300)));
+    return ToSeconds(times.DelayFor(FromSeconds(kPatience), milliseconds(300)));
   });
   CAPTURE(by_queue.asked, by_queue.turned_away, by_patience.turned_away);
   REQUIRE(by_queue.turned_away * 100 > by_queue.asked * 15);
@@ -74,12 +74,12 @@
 }
 
 TEST_CASE("no caller is told to come back later than it would wait for") {
-  ReturnTime times(1);
+  RetryAfterPolicy times(1);
   for (const int left : {0, 10, 500, 5000, 60000}) {
     const Duration longest = milliseconds(left) / 3 + milliseconds(1);
-    CHECK(times.For(milliseconds(left), milliseconds(0)) <= longest);
-    CHECK(times.For(milliseconds(left), milliseconds(20000)) <= longest);
-    CHECK(times.For(milliseconds(left), milliseconds(0)) >=
+    CHECK(times.DelayFor(milliseconds(left), milliseconds(0)) <= longest);
+    CHECK(times.DelayFor(milliseconds(left), milliseconds(20000)) <= longest);
+    CHECK(times.DelayFor(milliseconds(left), milliseconds(0)) >=
           milliseconds(left) / 6 - milliseconds(1));
   }
 }
--- a/libs/serving/tests/sharing_test.cc
+++ b/libs/serving/tests/sharing_test.cc
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "serving/slot_board.h"
+#include "serving/slot_scheduler.h"
 
 namespace knapweedstile::serving {
 namespace {
@@ -11,7 +11,7 @@
 constexpr uint32_t kSlots = 8;
 
 struct OneServer {
-  SlotBoard board{{}, "zone-a", 7};
+  SlotScheduler board{{}, "zone-a", 7};
   BackendServerId server;
   TimePoint now = kNow;
 
@@ -27,17 +27,17 @@
   uint32_t Fill() {
     uint32_t started = 0;
     while (board.PlaceBatch("llm", {}, now)) {
-      board.Started(server, TrafficClass::kBatch);
+      board.OnRequestStarted(server, TrafficClass::kBatch);
       ++started;
     }
     return started;
   }
   void Online(int change) {
     for (int i = 0; i < change; ++i) {
-      board.Started(server, TrafficClass::kOnline);
+      board.OnRequestStarted(server, TrafficClass::kOnline);
     }
     for (int i = change; i < 0; ++i) {
-      board.Ended(server, TrafficClass::kOnline);
+      board.OnRequestEnded(server, TrafficClass::kOnline);
     }
   }
   // Online demand that goes up and down for ten seconds.
@@ -58,7 +58,7 @@
 
 TEST_CASE("without a policy batch has what is free beyond the reserve") {
   OneServer fleet;
-  CHECK(fleet.board.SharingName(fleet.server) == "default");
+  CHECK(fleet.board.SharingPolicyName(fleet.server) == "default");
   CHECK(fleet.Fill() == kSlots - 1);
 }
 
@@ -67,10 +67,10 @@
   REQUIRE(fleet.Fill() == kSlots - 1);
   fleet.board.SetSharing(fleet.server,
                          Sharing(decide::SharingKind::kStaticShare));
-  CHECK(fleet.board.SharingName(fleet.server) == "night");
+  CHECK(fleet.board.SharingPolicyName(fleet.server) == "night");
   int taken_back = 0;
-  while (!fleet.board.BatchBeyondSharing().empty()) {
-    fleet.board.Ended(fleet.server, TrafficClass::kBatch);
+  while (!fleet.board.ServersOverBatchLimit().empty()) {
+    fleet.board.OnRequestEnded(fleet.server, TrafficClass::kBatch);
     ++taken_back;
   }
   // A quarter of eight slots stays.
@@ -85,7 +85,7 @@
   fleet.board.SetSharing(fleet.server,
                          Sharing(decide::SharingKind::kPriorityCancel));
   CHECK(fleet.Fill() == kSlots);
-  CHECK(fleet.board.BatchBeyondSharing().empty());
+  CHECK(fleet.board.ServersOverBatchLimit().empty());
 }
 
 // Online requests come four at a time for a second and go. Without a reserve
--- a/libs/serving/tests/slot_board_test.cc
+++ b/libs/serving/tests/slot_scheduler_test.cc
@@ -1,4 +1,4 @@
-#include "serving/slot_board.h"
+#include "serving/slot_scheduler.h"
 
 #include <catch2/catch.hpp>
 #include <set>
@@ -27,7 +27,7 @@
 }
 
 struct Board {
-  SlotBoard board{{}, "zone-a", 7};
+  SlotScheduler board{{}, "zone-a", 7};
   BackendServerId Add(const std::string& instance, uint32_t slots = 2) {
     board.Upsert(MakeServer(instance, slots));
     return board.Find(instance);
@@ -39,7 +39,7 @@
 
 void Add(FleetModel::Outcome& sum, const FleetModel::Outcome& outcome) {
   sum.online += outcome.online;
-  sum.late += outcome.late + outcome.refused;
+  sum.late += outcome.late + outcome.rejected;
   sum.batch_slot_seconds += outcome.batch_slot_seconds;
 }
 
@@ -61,7 +61,8 @@
     return fleet.board.PlaceOnline("llm", objective, {}, kNow);
   };
   while (place(kObjective / 2).outcome == PlacementOutcome::kPlaced) {
-    fleet.board.Started(fleet.board.Find("i-1"), TrafficClass::kOnline);
+    fleet.board.OnRequestStarted(fleet.board.Find("i-1"),
+                                 TrafficClass::kOnline);
   }
   CHECK(place(kObjective / 2).outcome == PlacementOutcome::kSaturated);
   CHECK(place(kObjective).outcome == PlacementOutcome::kPlaced);
@@ -86,7 +87,7 @@
   Board fleet;
   const BackendServerId dark = fleet.Add("i-1", 8);
   const BackendServerId good = fleet.Add("i-2", 8);
-  fleet.board.ReportUnreachable(dark, kNow);
+  fleet.board.MarkUnreachable(dark, kNow);
   for (int i = 0; i < 20; ++i) CHECK(fleet.Place().server == good);
   std::set<BackendServerId> later;
   for (int i = 0; i < 50; ++i) {
@@ -101,26 +102,26 @@
 TEST_CASE("with every slot taken a batch item gives up its slot") {
   Board fleet;
   const BackendServerId server = fleet.Add("i-1");
-  fleet.board.Started(server, TrafficClass::kOnline);
-  fleet.board.ReportEntry("entry-2",
-                          {{Process("i-1"), {.online = 0, .batch = 1}}}, kNow);
+  fleet.board.OnRequestStarted(server, TrafficClass::kOnline);
+  fleet.board.SetPeerUsage("entry-2",
+                           {{Process("i-1"), {.online = 0, .batch = 1}}}, kNow);
   const Placement placement = fleet.Place();
   CHECK(placement.server == server);
-  CHECK(placement.displaces_batch);
-  CHECK(placement.displaced_entry == "entry-2");
+  CHECK(placement.preempts_batch);
+  CHECK(placement.preempted_peer == "entry-2");
   // It is counted as gone, so the next request does not ask for it again.
-  CHECK_FALSE(fleet.Place().displaces_batch);
+  CHECK_FALSE(fleet.Place().preempts_batch);
 }
 
 TEST_CASE("a request waits only as long as its objective allows") {
   Board fleet;
   const BackendServerId server = fleet.Add("i-1");
   fleet.board.ObserveDuration(server, milliseconds(200));
-  fleet.board.Started(server, TrafficClass::kOnline);
-  fleet.board.Started(server, TrafficClass::kOnline);
+  fleet.board.OnRequestStarted(server, TrafficClass::kOnline);
+  fleet.board.OnRequestStarted(server, TrafficClass::kOnline);
   // One run of 200 ms on two slots: 100 ms to wait.
   CHECK(fleet.Place().outcome == PlacementOutcome::kPlaced);
-  fleet.board.Started(server, TrafficClass::kOnline);
+  fleet.board.OnRequestStarted(server, TrafficClass::kOnline);
   const Placement refused = fleet.Place();
   CHECK(refused.outcome == PlacementOutcome::kSaturated);
   CHECK(refused.retry_after > Duration::zero());
@@ -129,10 +130,10 @@
 TEST_CASE("what a silent entry had outstanding is dropped") {
   Board fleet;
   const BackendServerId server = fleet.Add("i-1");
-  fleet.board.ReportEntry("entry-2",
-                          {{Process("i-1"), {.online = 2, .batch = 0}}}, kNow);
+  fleet.board.SetPeerUsage("entry-2",
+                           {{Process("i-1"), {.online = 2, .batch = 0}}}, kNow);
   CHECK(fleet.board.UsageOf(server).total() == 2);
-  fleet.board.ExpireReports(kNow + std::chrono::seconds(2));
+  fleet.board.ExpirePeerReports(kNow + std::chrono::seconds(2));
   CHECK(fleet.board.UsageOf(server).total() == 0);
 }
 
@@ -140,14 +141,14 @@
   Board fleet;
   const BackendServerId first = fleet.Add("i-1");
   const BackendServerId second = fleet.Add("i-2");
-  fleet.board.ReportEntry(
+  fleet.board.SetPeerUsage(
       "entry-2",
       {{Process("i-1"), {.online = 1, .batch = 0}}, {Process("i-2"), {2, 0}}},
       kNow);
-  fleet.board.UpdateEntry("entry-2", {{Process("i-1"), {0, 0}}}, kNow);
+  fleet.board.UpdatePeerUsage("entry-2", {{Process("i-1"), {0, 0}}}, kNow);
   CHECK(fleet.board.UsageOf(first).total() == 0);
   CHECK(fleet.board.UsageOf(second).total() == 2);
-  fleet.board.ReportEntry("entry-2", {}, kNow);
+  fleet.board.SetPeerUsage("entry-2", {}, kNow);
   CHECK(fleet.board.UsageOf(second).total() == 0);
 }
 
@@ -171,9 +172,9 @@
   for (uint64_t seed = 1; seed <= 3; ++seed) {
     FleetModel::Settings settings;
     settings.seed = seed;
-    settings.give_way = false;
+    settings.preempt_batch = false;
     Add(by_lot, FleetModel(settings).Run());
-    settings.board.scarce_factor = 0;
+    settings.scheduler.scarce_factor = 0;
     Add(free_first, FleetModel(settings).Run());
     settings.least_used_rule = true;
     Add(least_used, FleetModel(settings).Run());
@@ -199,7 +200,7 @@
     FleetModel::Settings settings;
     settings.seed = seed;
     Add(giving_way, FleetModel(settings).Run());
-    settings.give_way = false;
+    settings.preempt_batch = false;
     Add(waiting, FleetModel(settings).Run());
   }
   CAPTURE(giving_way.online, giving_way.late, waiting.late,
@@ -213,32 +214,32 @@
 TEST_CASE("an item leaves only where the excess stays") {
   Board fleet;
   const BackendServerId server = fleet.Add("i-1");
-  fleet.board.Started(server, TrafficClass::kBatch);
-  fleet.board.Started(server, TrafficClass::kOnline);
-  CHECK(fleet.board.BatchInTheWay(kNow).empty());
-  fleet.board.Started(server, TrafficClass::kOnline);
-  CHECK(fleet.board.BatchInTheWay(kNow).empty());
-  CHECK(fleet.board.BatchInTheWay(kNow + milliseconds(20)) ==
+  fleet.board.OnRequestStarted(server, TrafficClass::kBatch);
+  fleet.board.OnRequestStarted(server, TrafficClass::kOnline);
+  CHECK(fleet.board.ServersToPreempt(kNow).empty());
+  fleet.board.OnRequestStarted(server, TrafficClass::kOnline);
+  CHECK(fleet.board.ServersToPreempt(kNow).empty());
+  CHECK(fleet.board.ServersToPreempt(kNow + milliseconds(20)) ==
         std::vector<BackendServerId>{server});
-  fleet.board.Ended(server, TrafficClass::kBatch);
-  CHECK(fleet.board.BatchInTheWay(kNow + milliseconds(40)).empty());
+  fleet.board.OnRequestEnded(server, TrafficClass::kBatch);
+  CHECK(fleet.board.ServersToPreempt(kNow + milliseconds(40)).empty());
 }
 
 // Load: the same without batch and with more entries, whose views are 30 ms
 // old. All send to the server that looks emptiest.
 TEST_CASE("entries with old views do not herd") {
   FleetModel::Settings settings;
-  settings.entries = 18;
+  settings.gateways = 18;
   settings.batch = false;
-  settings.share_delay = 0.03;
+  settings.report_delay = 0.03;
   settings.valley_rate = 140;
   settings.peak_rate = 140;
   const auto by_lot = FleetModel(settings).Run();
   settings.least_used_rule = true;
   const auto least_used = FleetModel(settings).Run();
-  CAPTURE(by_lot.online, by_lot.late, by_lot.refused, least_used.late);
-  CHECK(by_lot.late + by_lot.refused < least_used.late);
-  CHECK((by_lot.late + by_lot.refused) * 100 < by_lot.online * 5);
+  CAPTURE(by_lot.online, by_lot.late, by_lot.rejected, least_used.late);
+  CHECK(by_lot.late + by_lot.rejected < least_used.late);
+  CHECK((by_lot.late + by_lot.rejected) * 100 < by_lot.online * 5);
 }
 
 // Load: steps from a quarter to over two thirds of 420 slots beside endless
@@ -249,7 +250,7 @@
 // late.
 TEST_CASE("many entries are in time at the peak where a zone is a cell") {
   FleetModel::Settings settings;
-  settings.entries = 60;
+  settings.gateways = 60;
   settings.servers = 60;
   settings.zones = 5;
   settings.slots = 7;
@@ -257,10 +258,10 @@
   settings.valley_rate = 108;
   settings.peak_rate = 527;
   settings.run_seconds = 11;
-  settings.share_delay = 0.002;
-  settings.share_every = 0.059;
+  settings.report_delay = 0.002;
+  settings.report_interval = 0.059;
   const auto one_fleet = FleetModel(settings).Run();
-  settings.share_every = 0.004;
+  settings.report_interval = 0.004;
   settings.cells = true;
   const auto cells = FleetModel(settings).Run();
   CAPTURE(one_fleet.online, one_fleet.late, one_fleet.batch_slot_seconds,
@@ -273,7 +274,7 @@
 // A cell whose servers are full sends its callers to a zone that has room,
 // rather than cut off its own items or queue.
 TEST_CASE("beyond its cell an entry uses servers with room") {
-  SlotBoard board({}, "zone-a", 7);
+  SlotScheduler board({}, "zone-a", 7);
   board.Upsert(MakeServer("near", 1, "zone-a"));
   board.Upsert(MakeServer("far", 4, "zone-b"));
   board.SetCell({.availability_zone = "zone-a"}, 2);
@@ -283,25 +284,26 @@
     return board.PlaceOnline("llm", kObjective, {}, kNow);
   };
   CHECK(place().server == near);
-  board.Started(near, TrafficClass::kBatch);
+  board.OnRequestStarted(near, TrafficClass::kBatch);
   CHECK(place().server == far);
   // Its last free slot may be taken by its own entries at this moment.
-  for (int i = 0; i < 3; ++i) board.Started(far, TrafficClass::kOnline);
+  for (int i = 0; i < 3; ++i)
+    board.OnRequestStarted(far, TrafficClass::kOnline);
   const Placement displacing = place();
   CHECK(displacing.server == near);
-  CHECK(displacing.displaces_batch);
-  board.Ended(near, TrafficClass::kBatch);
-  board.Started(near, TrafficClass::kOnline);
+  CHECK(displacing.preempts_batch);
+  board.OnRequestEnded(near, TrafficClass::kBatch);
+  board.OnRequestStarted(near, TrafficClass::kOnline);
   CHECK(place().server == far);
 }
 
 TEST_CASE("items start beyond the cell only where many slots are free") {
-  SlotBoard board({}, "zone-a", 7);
+  SlotScheduler board({}, "zone-a", 7);
   board.Upsert(MakeServer("far", 4, "zone-b"));
   board.SetCell({.availability_zone = "zone-a"}, 2);
   const BackendServerId far = board.Find("far");
   CHECK(board.PlaceBatch("llm", {}, kNow) == far);
-  board.Started(far, TrafficClass::kBatch);
+  board.OnRequestStarted(far, TrafficClass::kBatch);
   CHECK_FALSE(board.PlaceBatch("llm", {}, kNow));
 }
 
@@ -313,9 +315,9 @@
   settings.valley_rate = 346;
   settings.peak_rate = 346;
   const auto outcome = FleetModel(settings).Run();
-  CAPTURE(outcome.online, outcome.late, outcome.refused, outcome.mean_wait);
-  CHECK(outcome.refused * 100 > outcome.online * 40);
-  CHECK(outcome.refused * 100 < outcome.online * 60);
+  CAPTURE(outcome.online, outcome.late, outcome.rejected, outcome.mean_wait);
+  CHECK(outcome.rejected * 100 > outcome.online * 40);
+  CHECK(outcome.rejected * 100 < outcome.online * 60);
   CHECK(outcome.mean_wait < 0.2);
 }
 
@@ -323,25 +325,25 @@
 // while this entry and another one still count what its former process had. It
 // is empty, and must be used at once.
 TEST_CASE("a server that has started again is taken as empty") {
-  SlotBoard board({}, "zone-a", 7);
+  SlotScheduler board({}, "zone-a", 7);
   ServerRecord record = MakeServer("i-1", 2);
   record.start = 100;
   board.Upsert(record);
   const BackendServerId former = board.Find("i-1");
-  board.Started(former, TrafficClass::kOnline);
-  board.ReportEntry("entry-2", {{Process("i-1", 100), {1, 0}}}, kNow);
-  board.ReportUnreachable(former, kNow);
+  board.OnRequestStarted(former, TrafficClass::kOnline);
+  board.SetPeerUsage("entry-2", {{Process("i-1", 100), {1, 0}}}, kNow);
+  board.MarkUnreachable(former, kNow);
   record.start = 200;
   board.Upsert(record);
   const BackendServerId present = board.Find("i-1");
   CHECK(present != former);
   CHECK(board.CountSlots("llm", kNow).free == 2);
   // Counts of the former process still come, and its requests still end.
-  board.ReportEntry("entry-2", {{Process("i-1", 100), {1, 0}}}, kNow);
+  board.SetPeerUsage("entry-2", {{Process("i-1", 100), {1, 0}}}, kNow);
   CHECK(board.UsageOf(present).total() == 0);
-  board.Ended(former, TrafficClass::kOnline);
+  board.OnRequestEnded(former, TrafficClass::kOnline);
   CHECK(board.Record(former) == nullptr);
-  board.ReportEntry("entry-2", {{Process("i-1", 200), {1, 0}}}, kNow);
+  board.SetPeerUsage("entry-2", {{Process("i-1", 200), {1, 0}}}, kNow);
   CHECK(board.UsageOf(present).total() == 1);
 }
 
