--- a/apps/knapweedstile/main.cc
+++ b/apps/knapweedstile/main.cc
@@ -47,7 +47,7 @@
 
 int ReportErrors(const std::vector<settings::SettingError>& errors) {
   for (const settings::SettingError& error : errors) {
-    fmt::print(stderr, "{}\n", error.Text());
+    fmt::print(stderr, "{}\n", error.ToString());
   }
   return kExitSettings;
 }
--- a/libs/gateway/src/batch/batch_answers.cc
+++ b/libs/gateway/src/batch/batch_answers.cc
@@ -34,7 +34,7 @@
 }  // namespace
 
 serving::ItemProgress& BatchRunner::Progress(const ItemRun& run) {
-  return book_.Find(run.item.job)->progress[run.item.index];
+  return jobs_.Find(run.item.job)->progress[run.item.index];
 }
 
 void BatchRunner::OnUpstream(http::ClientEvent&& event) {
@@ -59,19 +59,19 @@
   if (answer.ok() &&
       (answer.request_id != run.item_id || !answer.signed_answer)) {
     connections_.Cancel(run.upstream);
-    OnBroken(run, "foreign_answer");
+    OnAttemptBroken(run, "foreign_answer");
   }
 }
 
 void BatchRunner::OnBody(ItemRun& run, std::string_view data) {
   if (run.status / 100 != 2) return;
   run.reader.Append(data);
-  if (TakeEvents(run)) return;
+  if (ReadEvents(run)) return;
   connections_.Cancel(run.upstream);
-  OnBroken(run, "event_out_of_order");
+  OnAttemptBroken(run, "event_out_of_order");
 }
 
-bool BatchRunner::TakeEvents(ItemRun& run) {
+bool BatchRunner::ReadEvents(ItemRun& run) {
   serving::ItemProgress& progress = Progress(run);
   while (auto event = run.reader.Next()) {
     if (!event->id) continue;
@@ -82,7 +82,7 @@
     progress.output += event->data;
     progress.last_event = event->id;
     progress.breaks = 0;
-    run.any_event = true;
+    run.received_event = true;
     run.stalls_at = MonotonicNow() + kNextEventPatience;
   }
   return true;
@@ -90,11 +90,11 @@
 
 void BatchRunner::OnEnd(ItemRun& run, const http::EndEvent& event) {
   if (event.outcome == http::ClientOutcome::kNotSent) {
-    board_.MarkUnreachable(run.server, MonotonicNow());
+    scheduler_.MarkUnreachable(run.server, MonotonicNow());
     return Requeue(run, kNotRunPause, "unreachable");
   }
   if (event.outcome != http::ClientOutcome::kComplete) {
-    return OnBroken(run, NameOf(event.outcome));
+    return OnAttemptBroken(run, NameOf(event.outcome));
   }
   OnAnswered(run);
 }
@@ -103,16 +103,17 @@
   const ServerAnswer answer = DecodeAnswer(run.status, run.head);
   if (answer.not_executed) {
     if (answer.wrong_instance) {
-      board_.MarkUnreachable(run.server, MonotonicNow());
+      scheduler_.MarkUnreachable(run.server, MonotonicNow());
     } else {
-      board_.MarkFull(run.server, MonotonicNow());
+      scheduler_.MarkFull(run.server, MonotonicNow());
     }
     return Requeue(run, kNotRunPause, "not_executed");
   }
-  if (answer.request_id != run.item_id) return OnBroken(run, "foreign_answer");
+  if (answer.request_id != run.item_id)
+    return OnAttemptBroken(run, "foreign_answer");
   if (!answer.ok()) return OnFailedAnswer(run);
-  if (run.reader.HasPartial()) return OnBroken(run, "partial_event");
-  board_.MarkReachable(run.server);
+  if (run.reader.HasPartial()) return OnAttemptBroken(run, "partial_event");
+  scheduler_.MarkReachable(run.server);
   Finish(run, ItemState::kCompleted);
 }
 
@@ -133,9 +134,9 @@
 // Failure guarded against: an item that crashes each backend server that begins
 // to run it would take the fleet down. It shows as runs that break before any
 // event; after the third the pauses are long.
-void BatchRunner::OnBroken(ItemRun& run, std::string_view reason) {
+void BatchRunner::OnAttemptBroken(ItemRun& run, std::string_view reason) {
   serving::ItemProgress& progress = Progress(run);
-  if (!run.any_event) ++progress.breaks;
+  if (!run.received_event) ++progress.breaks;
   const size_t step =
       std::min<size_t>(progress.breaks, kBrokenPauses.size() - 1);
   Requeue(run, kBrokenPauses[step], reason);
@@ -150,17 +151,17 @@
                         {"age_ms", ToMillis(age)}});
   metrics_.Add("knap_items_total",
                {std::string(NameOf(state)),
-                std::string(board_.SharingPolicyName(run.server))});
+                std::string(scheduler_.SharingPolicyName(run.server))});
   RecordRun(run, NameOf(state));
-  Leave(run);
-  book_.SetFinished(item, state);
-  ports_.finished(item.job);
+  RemoveRun(run);
+  jobs_.SetFinished(item, state);
+  callbacks_.item_finished(item.job);
 }
 
 void BatchRunner::Requeue(ItemRun& run, Duration pause,
                           std::string_view reason) {
   const ItemRef item = run.item;
-  const serving::ServerRecord* record = board_.Record(run.server);
+  const serving::ServerRecord* record = scheduler_.Record(run.server);
   LogInfo("item_requeued",
           {{"job", item.job},
            {"item", run.item_id},
@@ -170,12 +171,12 @@
            {"pause_ms", ToMillis(pause)}});
   metrics_.Add("knap_items_requeued_total", {std::string(reason)});
   RecordRun(run, reason);
-  Leave(run);
-  book_.SetWaiting(item, MonotonicNow() + pause);
+  RemoveRun(run);
+  jobs_.SetWaiting(item, MonotonicNow() + pause);
 }
 
 void BatchRunner::RecordRun(const ItemRun& run, std::string_view end) {
-  const serving::ServerRecord* record = board_.Record(run.server);
+  const serving::ServerRecord* record = scheduler_.Record(run.server);
   const Duration time = MonotonicNow() - run.started_at;
   timeline_.Record({.wall_clock_nanos = WallClockNanos(),
                     .duration_nanos = ToNanos(time),
@@ -186,10 +187,10 @@
                              {"server", record ? record->address : "-"}}});
 }
 
-void BatchRunner::Leave(ItemRun& run) {
-  board_.OnRequestEnded(run.server, TrafficClass::kBatch);
+void BatchRunner::RemoveRun(ItemRun& run) {
+  scheduler_.OnRequestEnded(run.server, TrafficClass::kBatch);
   runs_.erase(run.upstream);
-  ports_.usage_changed();
+  callbacks_.usage_changed();
 }
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/batch/batch_api.cc
+++ b/libs/gateway/src/batch/batch_api.cc
@@ -48,38 +48,38 @@
 
 BatchApi::BatchApi(StoreCalls& store, const RecordKinds& kinds,
                    serving::JobTable& book, JobWriter& writer,
-                   std::string own_name, Ports ports)
+                   std::string own_name, Callbacks ports)
     : store_(store),
       kinds_(kinds),
-      book_(book),
+      jobs_(book),
       writer_(writer),
       own_name_(std::move(own_name)),
-      ports_(std::move(ports)) {}
+      callbacks_(std::move(ports)) {}
 
 void BatchApi::Respond(ExchangeId caller, unsigned status, std::string body,
                        std::string_view type) {
   http::HeaderList headers;
   if (!type.empty()) headers.Add("Content-Type", std::string(type));
-  ports_.to_caller(http::RespondCommand{.exchange = caller,
-                                        .status = status,
-                                        .headers = std::move(headers),
-                                        .body = std::move(body)});
+  callbacks_.to_caller(http::RespondCommand{.exchange = caller,
+                                            .status = status,
+                                            .headers = std::move(headers),
+                                            .body = std::move(body)});
 }
 
 void BatchApi::RespondRetry(ExchangeId caller, unsigned status,
                             Duration retry_after) {
   http::HeaderList headers;
   headers.Add("Retry-After", fmt::format("{:.3f}", ToSeconds(retry_after)));
-  ports_.to_caller(http::RespondCommand{
+  callbacks_.to_caller(http::RespondCommand{
       .exchange = caller, .status = status, .headers = std::move(headers)});
 }
 
 std::string BatchApi::KeyOf(std::string_view id,
                             const CallerIdentity& caller) const {
   std::string key = JobKey(caller.workspace, id);
-  if (book_.Find(key)) return key;
+  if (jobs_.Find(key)) return key;
   // A job that was handed in before jobs had workspaces is open to all callers.
-  const serving::BatchJob* unowned = book_.Find(id);
+  const serving::BatchJob* unowned = jobs_.Find(id);
   return unowned && unowned->workspace.empty() ? std::string(id) : key;
 }
 
@@ -90,7 +90,7 @@
   // An id that was made here would not be the same when the job comes again.
   if (identity.own_interface) return Respond(caller, 400);
   const std::string job = KeyOf(identity.request_id, identity);
-  if (const serving::BatchJob* known = book_.Find(job)) {
+  if (const serving::BatchJob* known = jobs_.Find(job)) {
     // The same job again: its caller did not hear that it was accepted.
     return Respond(caller, IsOf(*known, identity) ? 202 : 409);
   }
@@ -112,7 +112,7 @@
            NewJobRecord(own_name_, identity.host, route, identity.workspace,
                         users_platform::RenderSubmission(items)),
        .tokens = TokensOf(items),
-       .most_waiting_tokens = route.max_waiting_tokens,
+       .max_waiting_tokens = route.max_waiting_tokens,
        .arrived_at = request.received_at},
       [this, caller](SubmitOutcome outcome) { OnSubmitted(caller, outcome); });
 }
@@ -135,7 +135,7 @@
 void BatchApi::Call(http::RequestEvent&& request, const BatchCall& call,
                     const CallerIdentity& identity) {
   const std::string job = KeyOf(call.job, identity);
-  const serving::BatchJob* known = book_.Find(job);
+  const serving::BatchJob* known = jobs_.Find(job);
   if (known && !IsOf(*known, identity)) return Respond(request.exchange, 404);
   if (call.operation == BatchOperation::kEnd) {
     return End(request.exchange, job, request.received_at + kEndTimeout);
@@ -145,8 +145,8 @@
 
 void BatchApi::Serve(ExchangeId caller, const std::string& job,
                      const BatchCall& call) {
-  const serving::BatchJob* known = book_.Find(job);
-  if (!known) return Fetch(caller, job);
+  const serving::BatchJob* known = jobs_.Find(job);
+  if (!known) return RespondUnknownJob(caller, job);
   if (call.operation == BatchOperation::kRead) {
     return ServeRead(caller, call, *known);
   }
@@ -156,22 +156,23 @@
 void BatchApi::ServeRead(ExchangeId caller, const BatchCall& call,
                          const serving::BatchJob& job) {
   const Duration wait = std::min<Duration>(call.wait, kLongestWait);
-  const Read read{.caller = caller,
-                  .position = call.position,
-                  .answer_at = MonotonicNow() + wait};
+  const PendingRead read{.caller = caller,
+                         .position = call.position,
+                         .respond_at = MonotonicNow() + wait};
   const bool has_result = job.results.size() > call.position;
   // Nothing more will come: waiting would only delay the reader.
   const bool final = !job.open() && call.position <= job.results.size();
-  if (has_result || final || wait.count() == 0) return AnswerRead(read, job);
-  reads_.emplace(job.id, read);
+  if (has_result || final || wait.count() == 0) return RespondRead(read, job);
+  pending_reads_.emplace(job.id, read);
 }
 
-void BatchApi::AnswerRead(const Read& read, const serving::BatchJob& job) {
+void BatchApi::RespondRead(const PendingRead& read,
+                           const serving::BatchJob& job) {
   // The reader was given more than is known here, or may have been: another
   // entry is ahead.
   const bool nothing_new = read.position >= job.results.size() && job.open();
   if (read.position > job.results.size() ||
-      (nothing_new && !ports_.current())) {
+      (nothing_new && !callbacks_.has_all_records())) {
     return RespondRetry(read.caller, 503, std::chrono::milliseconds(200));
   }
   Respond(read.caller, 200, users_platform::RenderResults(job, read.position),
@@ -185,9 +186,10 @@
   Respond(caller, 200, job.items[index->second].body, kBytes);
 }
 
-void BatchApi::Fetch(ExchangeId caller, const std::string& job) {
-  store_.CallAnyWay(
-      platform::ReadRequest{.kind = kinds_.Of(job), .name = JobName(job)},
+void BatchApi::RespondUnknownJob(ExchangeId caller, const std::string& job) {
+  store_.CallDirectOrRelayed(
+      platform::ReadRequest{.kind = kinds_.KindOfJob(job),
+                            .name = JobName(job)},
       MonotonicNow() + kReadTimeout, [this, caller](StoreAnswer&& answer) {
         if (answer.outcome == StoreOutcome::kNotFound) {
           return Respond(caller, 404);
@@ -212,35 +214,35 @@
 }
 
 void BatchApi::OnProgress(const std::string& id) {
-  const serving::BatchJob* job = book_.Find(id);
+  const serving::BatchJob* job = jobs_.Find(id);
   if (!job) return;
-  std::vector<Read> ready;
-  const auto [begin, end] = reads_.equal_range(id);
+  std::vector<PendingRead> ready;
+  const auto [begin, end] = pending_reads_.equal_range(id);
   for (auto at = begin; at != end;) {
     if (job->results.size() > at->second.position || !job->open()) {
       ready.push_back(at->second);
-      at = reads_.erase(at);
+      at = pending_reads_.erase(at);
     } else {
       ++at;
     }
   }
-  for (const Read& read : ready) AnswerRead(read, *job);
+  for (const PendingRead& read : ready) RespondRead(read, *job);
 }
 
 void BatchApi::Expire(TimePoint now) {
-  std::vector<std::pair<std::string, Read>> over;
-  std::erase_if(reads_, [&](const auto& entry) {
+  std::vector<std::pair<std::string, PendingRead>> over;
+  std::erase_if(pending_reads_, [&](const auto& entry) {
     if (entry.second.answer_at > now) return false;
     over.push_back(entry);
     return true;
   });
   for (const auto& [id, read] : over) {
-    if (const serving::BatchJob* job = book_.Find(id)) AnswerRead(read, *job);
+    if (const serving::BatchJob* job = jobs_.Find(id)) RespondRead(read, *job);
   }
 }
 
-void BatchApi::OnCallerGone(ExchangeId caller) {
-  std::erase_if(reads_, [caller](const auto& entry) {
+void BatchApi::OnCallerDisconnected(ExchangeId caller) {
+  std::erase_if(pending_reads_, [caller](const auto& entry) {
     return entry.second.caller == caller;
   });
 }
--- a/libs/gateway/src/batch/batch_api.h
+++ b/libs/gateway/src/batch/batch_api.h
@@ -16,7 +16,7 @@
 #include "http/server_command.h"
 #include "http/server_event.h"
 #include "observe/metrics.h"
-#include "peers/own_record.h"
+#include "peers/store_record.h"
 #include "platform/store_answer.h"
 #include "serving/job_table.h"
 #include "serving/route.h"
@@ -31,31 +31,31 @@
 // read, end.
 class BatchApi {
  public:
-  struct Ports {
+  struct Callbacks {
     std::function<void(http::ServerCommand&&)> to_caller;
     // Whether all records that exist are known here.
-    std::function<bool()> current;
+    std::function<bool()> has_all_records;
   };
 
   BatchApi(StoreCalls& store, const RecordKinds& kinds, serving::JobTable& book,
-           JobWriter& writer, std::string own_name, Ports ports);
+           JobWriter& writer, std::string own_name, Callbacks ports);
 
   void Submit(http::RequestEvent&& request, const serving::Route& route,
               const CallerIdentity& caller);
   // A job is found by its own workspace only; to others it does not exist.
   void Call(http::RequestEvent&& request, const users_platform::BatchCall& call,
             const CallerIdentity& caller);
-  void OnCallerGone(ExchangeId caller);
+  void OnCallerDisconnected(ExchangeId caller);
   // Records of the job came from the store or were committed here.
   void OnProgress(const std::string& job);
   // Ends reads whose time to wait is over.
   void Expire(TimePoint now);
 
  private:
-  struct Read {
+  struct PendingRead {
     ExchangeId caller;
     uint64_t position = 0;
-    TimePoint answer_at;
+    TimePoint respond_at;
   };
   void OnSubmitted(ExchangeId caller, SubmitOutcome outcome);
   // The key of the caller's job with that id, whether or not it exists.
@@ -69,19 +69,19 @@
                  const serving::BatchJob& job);
   void End(ExchangeId caller, const std::string& job, TimePoint give_up_at);
   // Asks the store for a job that the book does not hold.
-  void Fetch(ExchangeId caller, const std::string& job);
-  void AnswerRead(const Read& read, const serving::BatchJob& job);
+  void RespondUnknownJob(ExchangeId caller, const std::string& job);
+  void RespondRead(const PendingRead& read, const serving::BatchJob& job);
   void Respond(ExchangeId caller, unsigned status, std::string body = {},
                std::string_view type = {});
   void RespondRetry(ExchangeId caller, unsigned status, Duration retry_after);
 
   StoreCalls& store_;
   const RecordKinds& kinds_;
-  serving::JobTable& book_;
+  serving::JobTable& jobs_;
   JobWriter& writer_;
   std::string own_name_;
-  Ports ports_;
-  std::multimap<std::string, Read> reads_;  // by job
+  Callbacks callbacks_;
+  std::multimap<std::string, PendingRead> pending_reads_;  // by job
 };
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/batch/batch_runner.cc
+++ b/libs/gateway/src/batch/batch_runner.cc
@@ -40,13 +40,13 @@
                          serving::SlotScheduler& board, serving::JobTable& book,
                          const serving::RouteTable& routes,
                          observe::Metrics& metrics, observe::Timeline& timeline,
-                         Ports ports)
-    : board_(board),
-      book_(book),
+                         Callbacks ports)
+    : scheduler_(board),
+      jobs_(book),
       routes_(routes),
       metrics_(metrics),
       timeline_(timeline),
-      ports_(std::move(ports)),
+      callbacks_(std::move(ports)),
       connections_(connections),
       sink_([this](http::ClientEvent&& event) {
         OnUpstream(std::move(event));
@@ -56,29 +56,29 @@
   EndUnwanted();
   EndStalled(now);
   GiveUpExpired(now);
-  WithdrawQueued(now);
+  RequeueQueuedRuns(now);
   // A policy that has come into force may leave batch less than it has.
-  for (const BackendServerId server : board_.ServersOverBatchLimit()) {
-    Yield(server);
+  for (const BackendServerId server : scheduler_.ServersOverBatchLimit()) {
+    PreemptItem(server);
   }
   std::set<std::string, std::less<>> full;  // routes without room
   const auto mine = [&](const serving::BatchJob& job) {
-    return !full.contains(job.route) && ports_.owns(job);
+    return !full.contains(job.route) && callbacks_.owns(job);
   };
   const auto free = [&](const serving::BatchItem& item) {
-    return !ports_.runs_elsewhere(Hash64(item.id));
+    return !callbacks_.runs_on_peer(Hash64(item.id));
   };
   const TimePoint in_time = now + kUsualRun;
-  while (const auto item = book_.NextItem(now, in_time, mine, free)) {
-    if (Start(*item, now) == StartResult::kNoRoom) {
-      full.insert(book_.Find(item->job)->route);
+  while (const auto item = jobs_.NextItem(now, in_time, mine, free)) {
+    if (Start(*item, now) == StartResult::kNoCapacity) {
+      full.insert(jobs_.Find(item->job)->route);
     }
   }
 }
 
 BatchRunner::StartResult BatchRunner::Start(const ItemRef& item,
                                             TimePoint now) {
-  serving::BatchJob& job = *book_.Find(item.job);
+  serving::BatchJob& job = *jobs_.Find(item.job);
   const serving::BatchItem& work = job.items[item.index];
   const serving::Route* route = routes_.Find(job.host, work.target);
   if (!route) {
@@ -86,10 +86,10 @@
     return StartResult::kStarted;
   }
   const std::string& service = route->services.front().service;
-  if (!TakeFromBudget(service, now)) return StartResult::kNoRoom;
-  const BackendServerId server =
-      board_.PlaceBatch(service, ports_.outside(*route, service), now);
-  if (!server) return StartResult::kNoRoom;
+  if (!ConsumeBudget(service, now)) return StartResult::kNoCapacity;
+  const BackendServerId server = scheduler_.PlaceBatch(
+      service, callbacks_.excluded_servers(*route, service), now);
+  if (!server) return StartResult::kNoCapacity;
   serving::ItemProgress& progress = job.progress[item.index];
   progress.unrouted_since.reset();
   ItemRun run{.item = item,
@@ -100,7 +100,7 @@
               .upstream = connections_.Open(sink_),
               .started_at = now,
               .stalls_at = now + kFirstEventPatience};
-  const serving::ServerRecord& record = *board_.Record(server);
+  const serving::ServerRecord& record = *scheduler_.Record(server);
   http::ClientRequest request;
   request.exchange = run.upstream;
   request.address = record.address;
@@ -115,17 +115,17 @@
   request.body = work.body;
   request.deadline = now + kLongestRun;
   request.stream_body = true;
-  book_.SetRunning(item);
-  board_.OnRequestStarted(server, TrafficClass::kBatch);
+  jobs_.SetRunning(item);
+  scheduler_.OnRequestStarted(server, TrafficClass::kBatch);
   runs_.emplace(run.upstream, std::move(run));
-  ports_.usage_changed();
+  callbacks_.usage_changed();
   connections_.Send(std::move(request));
   return StartResult::kStarted;
 }
 
-void BatchRunner::GiveWay(TimePoint now) {
-  for (const BackendServerId server : board_.ServersToPreempt(now))
-    Yield(server);
+void BatchRunner::PreemptBlockingItems(TimePoint now) {
+  for (const BackendServerId server : scheduler_.ServersToPreempt(now))
+    PreemptItem(server);
 }
 
 // Failure guarded against: an entry that has just started, or whose watch lags,
@@ -133,9 +133,9 @@
 // at once would list it as failed for good. Only a route that stays away under
 // a known configuration was removed.
 void BatchRunner::WaitForRoute(const ItemRef& item, TimePoint now) {
-  book_.SetWaiting(item, now + kUnroutedPause);
+  jobs_.SetWaiting(item, now + kUnroutedPause);
   if (routes_.version == 0) return;
-  serving::BatchJob& job = *book_.Find(item.job);
+  serving::BatchJob& job = *jobs_.Find(item.job);
   serving::ItemProgress& progress = job.progress[item.index];
   if (!progress.unrouted_since) progress.unrouted_since = now;
   if (now - *progress.unrouted_since < kUnroutedPatience) return;
@@ -143,18 +143,19 @@
                                {"item", job.items[item.index].id},
                                {"cause", "no_route"},
                                {"configuration", routes_.version}});
-  book_.SetFinished(item, ItemState::kFailed);
-  ports_.finished(item.job);
+  jobs_.SetFinished(item, ItemState::kFailed);
+  callbacks_.item_finished(item.job);
 }
 
-bool BatchRunner::TakeFromBudget(const std::string& service, TimePoint now) {
+bool BatchRunner::ConsumeBudget(const std::string& service, TimePoint now) {
   if (now >= window_ends_at_) {
     budget_.clear();
     window_ends_at_ = now + kStartWindow;
   }
   const auto [budget, is_new] = budget_.try_emplace(service);
   if (is_new) {
-    budget->second = board_.BatchBudget(service, ports_.entries(), now);
+    budget->second =
+        scheduler_.BatchBudget(service, callbacks_.gateway_count(), now);
   }
   if (budget->second == 0) return false;
   --budget->second;
@@ -165,11 +166,11 @@
 // than slots at a server. Those that wait there hold back the online requests
 // behind them, for seconds; it shows as an excess and as runs without any
 // event.
-void BatchRunner::WithdrawQueued(TimePoint now) {
+void BatchRunner::RequeueQueuedRuns(TimePoint now) {
   std::map<BackendServerId, ExchangeId> queued;
   for (const auto& [upstream, run] : runs_) {
-    if (run.any_event || now - run.started_at < kQueuedAfter) continue;
-    if (board_.Oversubscription(run.server) > 0)
+    if (run.received_event || now - run.started_at < kQueuedAfter) continue;
+    if (scheduler_.Oversubscription(run.server) > 0)
       queued.emplace(run.server, upstream);
   }
   for (const auto& [server, upstream] : queued) {
@@ -186,45 +187,45 @@
   for (const ExchangeId upstream : stalled) {
     ItemRun& run = runs_.at(upstream);
     connections_.Cancel(upstream);
-    board_.MarkUnreachable(run.server, now);
-    OnBroken(run, "stalled");
+    scheduler_.MarkUnreachable(run.server, now);
+    OnAttemptBroken(run, "stalled");
   }
 }
 
 void BatchRunner::EndUnwanted() {
   std::vector<ExchangeId> unwanted;
   for (const auto& [upstream, run] : runs_) {
-    const serving::BatchJob* job = book_.Find(run.item.job);
+    const serving::BatchJob* job = jobs_.Find(run.item.job);
     const bool listed = job && job->progress[run.item.index].phase ==
                                    serving::ItemPhase::kCommitted;
     if (!job || job->ended || listed) unwanted.push_back(upstream);
   }
   for (const ExchangeId upstream : unwanted) {
     connections_.Cancel(upstream);
-    Leave(runs_.at(upstream));
+    RemoveRun(runs_.at(upstream));
   }
 }
 
 void BatchRunner::GiveUpExpired(TimePoint now) {
-  for (const auto& [id, job] : book_.jobs()) {
-    if (!job.open() || job.expires_at > now || !ports_.owns(job)) continue;
+  for (const auto& [id, job] : jobs_.jobs()) {
+    if (!job.open() || job.expires_at > now || !callbacks_.owns(job)) continue;
     for (uint32_t i = 0; i < job.items.size(); ++i) {
       if (job.progress[i].phase != serving::ItemPhase::kWaiting) continue;
       LogWarning(
           "item_given_up",
           {{"job", id}, {"item", job.items[i].id}, {"cause", "expired"}});
-      book_.SetFinished({id, i}, ItemState::kFailed);
-      ports_.finished(id);
+      jobs_.SetFinished({id, i}, ItemState::kFailed);
+      callbacks_.item_finished(id);
     }
   }
 }
 
-void BatchRunner::Yield(BackendServerId server) {
+void BatchRunner::PreemptItem(BackendServerId server) {
   ItemRun* chosen = nullptr;
   TimePoint latest{};
   for (auto& [upstream, run] : runs_) {
     if (run.server != server) continue;
-    const serving::BatchJob* job = book_.Find(run.item.job);
+    const serving::BatchJob* job = jobs_.Find(run.item.job);
     const TimePoint due = job ? job->due_at : kNever;
     if (chosen && due <= latest) continue;
     chosen = &run;
@@ -242,7 +243,7 @@
   }
   for (const ExchangeId upstream : cut) {
     connections_.Cancel(upstream);
-    OnBroken(runs_.at(upstream), "server_restarted");
+    OnAttemptBroken(runs_.at(upstream), "server_restarted");
   }
 }
 
--- a/libs/gateway/src/batch/batch_runner.h
+++ b/libs/gateway/src/batch/batch_runner.h
@@ -26,33 +26,33 @@
 // Runs the items of batch jobs on slots that online requests leave free.
 class BatchRunner {
  public:
-  struct Ports {
+  struct Callbacks {
     // Whether this entry starts items of the job.
     std::function<bool(const serving::BatchJob&)> owns;
     // Entries that take batch work, this one included.
-    std::function<size_t()> entries;
+    std::function<size_t()> gateway_count;
     // Whether another entry runs the item now.
-    std::function<bool(uint64_t item_hash)> runs_elsewhere;
-    std::function<void(const std::string& job)> finished;
+    std::function<bool(uint64_t item_hash)> runs_on_peer;
+    std::function<void(const std::string& job)> item_finished;
     std::function<void()> usage_changed;
     // Servers that the operators' policies keep the route's items from.
     std::function<std::vector<BackendServerId>(const serving::Route& route,
                                                const std::string& service)>
-        outside;
+        excluded_servers;
   };
 
   BatchRunner(ServerConnections& connections, serving::SlotScheduler& board,
               serving::JobTable& book, const serving::RouteTable& routes,
               observe::Metrics& metrics, observe::Timeline& timeline,
-              Ports ports);
+              Callbacks ports);
 
   // Starts what has room, and ends runs that have stalled or are not wanted
   // any more.
   void Run(TimePoint now);
   // Takes items back behind which online requests wait; every 20 ms.
-  void GiveWay(TimePoint now);
+  void PreemptBlockingItems(TimePoint now);
   // Gives up the slot of one item on the backend server.
-  void Yield(BackendServerId server);
+  void PreemptItem(BackendServerId server);
   // The server's process is gone with all that it ran.
   void OnServerRestarted(BackendServerId former);
   // Ends all runs, for others to go on with; what they produced is kept.
@@ -74,10 +74,10 @@
     TimePoint stalls_at;  // without an event until then, the run has stalled
     unsigned status = 0;
     http::HeaderList head;
-    bool any_event = false;
+    bool received_event = false;
     serving::EventStreamReader reader;
   };
-  enum class StartResult { kStarted, kNoRoom };
+  enum class StartResult { kStarted, kNoCapacity };
   // Items that may still be started in the present window, by service.
   using Budget = std::map<std::string, uint32_t, std::less<>>;
 
@@ -86,28 +86,28 @@
   void OnUpstream(http::ClientEvent&& event);
   void OnHead(ItemRun& run, http::HeadEvent&& event);
   void OnBody(ItemRun& run, std::string_view data);
-  bool TakeEvents(ItemRun& run);
+  bool ReadEvents(ItemRun& run);
   void OnEnd(ItemRun& run, const http::EndEvent& event);
   void OnAnswered(ItemRun& run);
   void OnFailedAnswer(ItemRun& run);
-  void OnBroken(ItemRun& run, std::string_view reason);
-  bool TakeFromBudget(const std::string& service, TimePoint now);
-  void WithdrawQueued(TimePoint now);
+  void OnAttemptBroken(ItemRun& run, std::string_view reason);
+  bool ConsumeBudget(const std::string& service, TimePoint now);
+  void RequeueQueuedRuns(TimePoint now);
   void EndStalled(TimePoint now);
   void EndUnwanted();
   void GiveUpExpired(TimePoint now);
   void Finish(ItemRun& run, serving::ItemState state);
   void Requeue(ItemRun& run, Duration pause, std::string_view reason);
-  void Leave(ItemRun& run);
+  void RemoveRun(ItemRun& run);
   void RecordRun(const ItemRun& run, std::string_view end);
   serving::ItemProgress& Progress(const ItemRun& run);
 
-  serving::SlotScheduler& board_;
-  serving::JobTable& book_;
+  serving::SlotScheduler& scheduler_;
+  serving::JobTable& jobs_;
   const serving::RouteTable& routes_;
   observe::Metrics& metrics_;
   observe::Timeline& timeline_;
-  Ports ports_;
+  Callbacks callbacks_;
   Budget budget_;
   TimePoint window_ends_at_{};
   std::unordered_map<ExchangeId, ItemRun> runs_;
--- a/libs/gateway/src/batch/job_forwarder.cc
+++ b/libs/gateway/src/batch/job_forwarder.cc
@@ -41,8 +41,8 @@
 }  // namespace
 
 JobForwarder::JobForwarder(boost::asio::io_context& io,
-                           observe::Metrics& metrics, Ports ports)
-    : ports_(std::move(ports)),
+                           observe::Metrics& metrics, Callbacks ports)
+    : callbacks_(std::move(ports)),
       metrics_(metrics),
       client_(io, PeerClientSettings(), [this](http::ClientEvent&& event) {
         OnEvent(std::move(event));
@@ -67,7 +67,7 @@
   Call call{.caller = request.exchange,
             .job = job,
             .message = EncodeJobCall(request, caller),
-            .holders = ports_.holders(job),
+            .holders = callbacks_.holders(job),
             .give_up_at = now + kLongestCall};
   std::stable_partition(
       call.holders.begin(), call.holders.end(),
@@ -81,11 +81,11 @@
   const TimePoint now = MonotonicNow();
   if (call.holders.empty() || now >= call.give_up_at) return GiveUp(call);
   const ExchangeId exchange(++last_exchange_);
-  call.asked = std::move(call.holders.back());
+  call.current_holder = std::move(call.holders.back());
   call.holders.pop_back();
   http::ClientRequest request{
       .exchange = exchange,
-      .address = call.asked,
+      .address = call.current_holder,
       .method = "POST",
       .target = kTarget,
       .body = call.message,
@@ -103,7 +103,7 @@
   Call& call = found.mapped();
   const bool answered = end->outcome == http::ClientOutcome::kComplete;
   if (answered && end->status != kMisdirected) {
-    return Answer(call, std::move(*end));
+    return Respond(call, std::move(*end));
   }
   LogInfo("job_call_not_answered",
           {{"job", call.job},
@@ -111,17 +111,18 @@
            {"holders_left", call.holders.size()},
            {"reason", end->message}});
   if (!answered) {
-    unreachable_until_[call.asked] = MonotonicNow() + kUnreachableFor;
-    if (end->outcome != http::ClientOutcome::kNotSent) call.maybe_taken = true;
+    unreachable_until_[call.current_holder] = MonotonicNow() + kUnreachableFor;
+    if (end->outcome != http::ClientOutcome::kNotSent)
+      call.maybe_accepted = true;
   }
   TryNext(std::move(call));
 }
 
-void JobForwarder::Answer(const Call& call, http::EndEvent&& answer) {
+void JobForwarder::Respond(const Call& call, http::EndEvent&& answer) {
   // A holder before this one may have taken the job that this one refuses.
   const bool refused =
       answer.status == kUnavailable || answer.status == kTooManyRequests;
-  if (refused && call.maybe_taken) return GiveUp(call);
+  if (refused && call.maybe_accepted) return GiveUp(call);
   metrics_.Add("knap_job_calls_forwarded_total", {"answered"});
   http::RespondCommand command{.exchange = call.caller,
                                .status = answer.status,
@@ -129,22 +130,22 @@
   for (const auto& [name, value] : answer.headers.fields()) {
     if (!IsOfConnection(name)) command.headers.Add(name, value);
   }
-  ports_.to_caller(std::move(command));
+  callbacks_.to_caller(std::move(command));
 }
 
 void JobForwarder::GiveUp(const Call& call) {
   metrics_.Add("knap_job_calls_forwarded_total", {"no_holder"});
   LogWarning("job_call_given_up",
-             {{"job", call.job}, {"maybe_taken", call.maybe_taken}});
+             {{"job", call.job}, {"maybe_taken", call.maybe_accepted}});
   http::RespondCommand command{
       .exchange = call.caller,
-      .status = call.maybe_taken ? kUnknown : kUnavailable};
+      .status = call.maybe_accepted ? kUnknown : kUnavailable};
   command.headers.Add("Retry-After",
                       fmt::format("{:.3f}", ToSeconds(kRetryAfter)));
-  ports_.to_caller(std::move(command));
+  callbacks_.to_caller(std::move(command));
 }
 
-void JobForwarder::OnCallerGone(ExchangeId caller) {
+void JobForwarder::OnCallerDisconnected(ExchangeId caller) {
   for (auto at = calls_.begin(); at != calls_.end(); ++at) {
     if (at->second.caller != caller) continue;
     client_.Cancel(at->first);
--- a/libs/gateway/src/batch/job_forwarder.h
+++ b/libs/gateway/src/batch/job_forwarder.h
@@ -27,14 +27,14 @@
 // The caller is told 503 only when no holder can have taken the call.
 class JobForwarder {
  public:
-  struct Ports {
+  struct Callbacks {
     std::function<void(http::ServerCommand&&)> to_caller;
     // Addresses of the gateways that hold the job, in the order to be tried.
     std::function<std::vector<std::string>(std::string_view job)> holders;
   };
 
   JobForwarder(boost::asio::io_context& io, observe::Metrics& metrics,
-               Ports ports);
+               Callbacks ports);
 
   static bool IsTarget(std::string_view target);
   // Status of a gateway that does not hold the job.
@@ -42,26 +42,26 @@
 
   void Forward(const http::RequestEvent& request, const std::string& job,
                const CallerIdentity& caller);
-  void OnCallerGone(ExchangeId caller);
+  void OnCallerDisconnected(ExchangeId caller);
 
  private:
   struct Call {
     ExchangeId caller;
     std::string job;
     std::string message;
-    std::string asked;                 // the holder that is being asked
+    std::string current_holder;        // the holder that is being asked
     std::vector<std::string> holders;  // the next one to be tried is the last
-    bool maybe_taken = false;
+    bool maybe_accepted = false;
     TimePoint give_up_at;
   };
 
   void TryNext(Call&& call);
   void OnEvent(http::ClientEvent&& event);
-  void Answer(const Call& call, http::EndEvent&& answer);
+  void Respond(const Call& call, http::EndEvent&& answer);
   void GiveUp(const Call& call);
   bool IsUnreachable(const std::string& address, TimePoint now);
 
-  Ports ports_;
+  Callbacks callbacks_;
   observe::Metrics& metrics_;
   uint64_t last_exchange_ = 0;
   std::unordered_map<ExchangeId, Call> calls_;
--- a/libs/gateway/src/batch/job_ownership.cc
+++ b/libs/gateway/src/batch/job_ownership.cc
@@ -34,31 +34,31 @@
     : own_name_(std::move(own_name)),
       started_at_(started_at),
       peers_(peers),
-      book_(book) {}
+      jobs_(book) {}
 
 bool JobOwnership::Owns(const serving::BatchJob& job, TimePoint now) const {
-  if (stopping_ || !knows_ends_) return false;
+  if (stopping_ || !end_records_loaded_) return false;
   // Until the others have told what they use, every slot looks free.
   if (now < started_at_ + kLearnUsage) return false;
   if (job.creator == own_name_) return true;
   if (now < started_at_ + kTakeoverAfterStart) return false;
-  if (peers_.Works(job.creator)) return false;
-  return ChosenOf(job.id) == own_name_;
+  if (peers_.IsActivePeer(job.creator)) return false;
+  return RendezvousOwner(job.id) == own_name_;
 }
 
-bool JobOwnership::Collects(const std::string& job) const {
-  return !stopping_ && ChosenOf(job) == own_name_;
+bool JobOwnership::CollectsRecordsOf(const std::string& job) const {
+  return !stopping_ && RendezvousOwner(job) == own_name_;
 }
 
-std::string JobOwnership::ChosenOf(const std::string& job) const {
-  std::vector<std::string> entries = peers_.WorkingEntries();
+std::string JobOwnership::RendezvousOwner(const std::string& job) const {
+  std::vector<std::string> entries = peers_.ActivePeers();
   entries.push_back(own_name_);
   return HighestOf(job, entries);
 }
 
 std::string JobOwnership::SuccessorOf(const std::string& job) const {
-  const std::vector<std::string> entries = peers_.WorkingEntries();
-  const serving::BatchJob* known = book_.Find(job);
+  const std::vector<std::string> entries = peers_.ActivePeers();
+  const serving::BatchJob* known = jobs_.Find(job);
   const bool creator_lives =
       known && std::find(entries.begin(), entries.end(), known->creator) !=
                    entries.end();
--- a/libs/gateway/src/batch/job_ownership.h
+++ b/libs/gateway/src/batch/job_ownership.h
@@ -25,27 +25,27 @@
 
   // Commands.
   // Whether the ends of jobs are known as they are in the store.
-  void SetKnowsEnds(bool knows) noexcept { knows_ends_ = knows; }
+  void SetEndRecordsLoaded(bool knows) noexcept { end_records_loaded_ = knows; }
   // This entry takes charge of nothing from now on.
   void Stop() noexcept { stopping_ = true; }
 
   // Queries. Whether this entry starts items of the job.
   bool Owns(const serving::BatchJob& job, TimePoint now) const;
   // Whether this entry deletes the records of a job that has expired.
-  bool Collects(const std::string& job) const;
+  bool CollectsRecordsOf(const std::string& job) const;
   // The other entry that runs the job once this one is gone: the one that
   // accepted it, if it lives; empty without others.
   std::string SuccessorOf(const std::string& job) const;
 
  private:
   // One of the live entries, by a hash that all agree on.
-  std::string ChosenOf(const std::string& job) const;
+  std::string RendezvousOwner(const std::string& job) const;
 
   std::string own_name_;
   TimePoint started_at_;
   const PeerLink& peers_;
-  const serving::JobTable& book_;
-  bool knows_ends_ = false;
+  const serving::JobTable& jobs_;
+  bool end_records_loaded_ = false;
   bool stopping_ = false;
 };
 
--- a/libs/gateway/src/batch/job_records.h
+++ b/libs/gateway/src/batch/job_records.h
@@ -20,7 +20,7 @@
 //   job.ID          an accepted job, written before its acceptance is answered
 //   segment.ID.N    results of a job; created once, so a position never changes
 //   end.ID          its caller wants no more of it
-inline constexpr char kOwnKind[] = "knapweedstile";
+inline constexpr char kRecordKind[] = "knapweedstile";
 
 enum class RecordType { kJob, kSegment, kEnd, kUnknown };
 
--- a/libs/gateway/src/batch/job_writer.cc
+++ b/libs/gateway/src/batch/job_writer.cc
@@ -37,40 +37,41 @@
 
 JobWriter::JobWriter(StoreCalls& store, const RecordKinds& kinds,
                      serving::JobTable& book, observe::Metrics& metrics,
-                     Ports ports)
+                     Callbacks ports)
     : store_(store),
       kinds_(kinds),
-      book_(book),
+      jobs_(book),
       metrics_(metrics),
-      ports_(std::move(ports)) {}
+      callbacks_(std::move(ports)) {}
 
-serving::QuotaVerdict JobWriter::Judge(const Request& request) const {
-  if (request.most_waiting_tokens == 0) return serving::QuotaVerdict::kAccept;
+serving::QuotaVerdict JobWriter::CheckQuota(const Request& request) const {
+  if (request.max_waiting_tokens == 0) return serving::QuotaVerdict::kAccept;
   const serving::QuotaScope scope = request.scope();
-  uint64_t waiting = book_.WaitingTokens(scope);
+  uint64_t waiting = jobs_.WaitingTokens(scope);
   for (const auto& [id, submission] : submissions_) {
     if (submission.request.scope() == scope) {
       waiting += submission.request.tokens;
     }
   }
   const auto verdict =
-      quota_.Check(scope, waiting, request.tokens, request.most_waiting_tokens,
-                   ports_.entries());
+      quota_.Check(scope, waiting, request.tokens, request.max_waiting_tokens,
+                   callbacks_.gateway_count());
   // Failure guarded against: an entry that wakes from a pause, or was cut off,
   // knows less than what waits, and would give away what others have taken. An
   // entry that nobody hears may take jobs as well; that matters only in the
   // upper half of the limit, since two sides that do not hear each other reach
   // the limit together there at the earliest.
   const bool upper_half =
-      2 * (waiting + request.tokens) > request.most_waiting_tokens;
-  const bool known = upper_half ? ports_.current() : ports_.complete();
+      2 * (waiting + request.tokens) > request.max_waiting_tokens;
+  const bool known = upper_half ? callbacks_.has_all_records()
+                                : callbacks_.has_live_peer_records();
   if (known || verdict == serving::QuotaVerdict::kOverLimit) return verdict;
-  ports_.refresh();
+  callbacks_.refresh_records();
   return serving::QuotaVerdict::kAwaitPeers;
 }
 
-void JobWriter::Refuse(const Request& request, SubmitOutcome outcome,
-                       std::string_view cause) {
+void JobWriter::RecordRejection(const Request& request, SubmitOutcome outcome,
+                                std::string_view cause) {
   LogWarning("job_refused", {{"job", request.job},
                              {"outcome", NameOf(outcome)},
                              {"cause", cause},
@@ -78,61 +79,63 @@
                              {"workspace", request.record.workspace.empty()
                                                ? "-"
                                                : request.record.workspace},
-                             {"waiting", book_.WaitingTokens(request.scope())},
-                             {"limit", request.most_waiting_tokens}});
+                             {"waiting", jobs_.WaitingTokens(request.scope())},
+                             {"limit", request.max_waiting_tokens}});
   metrics_.Add("knap_jobs_total", {std::string(NameOf(outcome))});
 }
 
-void JobWriter::Submit(Request&& request, Submitted done) {
+void JobWriter::Submit(Request&& request, SubmitCallback done) {
   // The same job again: its caller did not hear that it was accepted.
-  if (book_.Find(request.job)) return done(SubmitOutcome::kAccepted);
+  if (jobs_.Find(request.job)) return done(SubmitOutcome::kAccepted);
   if (EncodeJob(request.record).size() > kMaxRecordBytes) {
-    Refuse(request, SubmitOutcome::kTooLarge, "record_bytes");
+    RecordRejection(request, SubmitOutcome::kTooLarge, "record_bytes");
     return done(SubmitOutcome::kTooLarge);
   }
-  if (request.most_waiting_tokens != 0) {
+  if (request.max_waiting_tokens != 0) {
     // Cells do not know each other's jobs: each keeps to its part of the limit.
-    const auto limit = static_cast<double>(request.most_waiting_tokens);
-    request.most_waiting_tokens = std::max<uint64_t>(
-        1, static_cast<uint64_t>(limit * ports_.held_part()));
+    const auto limit = static_cast<double>(request.max_waiting_tokens);
+    request.max_waiting_tokens = std::max<uint64_t>(
+        1, static_cast<uint64_t>(limit * callbacks_.shard_share()));
   }
   if (!store_.reachable()) {
-    Refuse(request, SubmitOutcome::kUnavailable, "store_unavailable");
+    RecordRejection(request, SubmitOutcome::kUnavailable, "store_unavailable");
     return done(SubmitOutcome::kUnavailable);
   }
-  switch (Judge(request)) {
+  switch (CheckQuota(request)) {
     case serving::QuotaVerdict::kAccept:
-      return Begin(std::move(request), std::move(done));
+      return StartSubmission(std::move(request), std::move(done));
     case serving::QuotaVerdict::kAwaitPeers: {
       const TimePoint give_up_at = MonotonicNow() + kLongestHold;
-      return held_.push_back({std::move(request), std::move(done), give_up_at});
+      return deferred_.push_back(
+          {std::move(request), std::move(done), give_up_at});
     }
     case serving::QuotaVerdict::kOverLimit:
-      Refuse(request, SubmitOutcome::kOverQuota, "quota");
+      RecordRejection(request, SubmitOutcome::kOverQuota, "quota");
       return done(SubmitOutcome::kOverQuota);
   }
 }
 
-void JobWriter::OnHeard(uint64_t number, TimePoint now) {
+void JobWriter::OnAcknowledged(uint64_t number, TimePoint now) {
   quota_.OnAcknowledged(number, now);
-  for (auto waiting = std::exchange(held_, {}); !waiting.empty();
+  for (auto waiting = std::exchange(deferred_, {}); !waiting.empty();
        waiting.pop_front()) {
-    Held& held = waiting.front();
-    const auto verdict = Judge(held.request);
+    DeferredSubmission& held = waiting.front();
+    const auto verdict = CheckQuota(held.request);
     if (verdict == serving::QuotaVerdict::kAccept) {
-      Begin(std::move(held.request), std::move(held.done));
+      StartSubmission(std::move(held.request), std::move(held.done));
     } else if (verdict == serving::QuotaVerdict::kAwaitPeers &&
                now < held.give_up_at) {
-      held_.push_back(std::move(held));
+      deferred_.push_back(std::move(held));
     } else {
-      Refuse(held.request, SubmitOutcome::kOverQuota, "quota_unacknowledged");
+      RecordRejection(held.request, SubmitOutcome::kOverQuota,
+                      "quota_unacknowledged");
       held.done(SubmitOutcome::kOverQuota);
     }
   }
 }
 
-void JobWriter::Begin(Request&& request, Submitted done) {
-  if (request.most_waiting_tokens != 0) {
+void JobWriter::StartSubmission(Request&& request, SubmitCallback done) {
+  if (request.max_waiting_tokens != 0) {
     quota_.Reserve(request.job, request.scope(), request.tokens);
   }
   const SubmissionId id = ++last_submission_;
@@ -145,8 +148,8 @@
 
 void JobWriter::Write(SubmissionId id) {
   const Request& request = submissions_.at(id).request;
-  store_.CallAnyWay(
-      platform::WriteRequest{.kind = kinds_.Of(request.job),
+  store_.CallDirectOrRelayed(
+      platform::WriteRequest{.kind = kinds_.KindOfJob(request.job),
                              .name = JobName(request.job),
                              .if_version = 0,
                              .value = EncodeJob(request.record)},
@@ -166,24 +169,25 @@
     default:
       break;
   }
-  if (submission.maybe_written) return WriteAgain(id);
+  if (submission.maybe_written) return RetryWrite(id);
   // The first call that the store turns away shows that it does; another entry
   // may still reach it.
-  if (++submission.refused_writes < kMostRefusedWrites && store_.reachable()) {
+  if (++submission.rejected_writes < kMostRefusedWrites && store_.reachable()) {
     return Write(id);
   }
-  Finish(id, SubmitOutcome::kUnavailable, NameOf(answer.outcome));
+  FinishUnaccepted(id, SubmitOutcome::kUnavailable, NameOf(answer.outcome));
 }
 
 // The record may be another entry's, to which the job came first: that one runs
 // the job, so its record counts, not the one that was to be written here.
 void JobWriter::ReadBack(SubmissionId id) {
-  store_.CallAnyWay(
-      platform::ReadRequest{.kind = kinds_.Of(submissions_.at(id).request.job),
-                            .name = JobName(submissions_.at(id).request.job)},
+  store_.CallDirectOrRelayed(
+      platform::ReadRequest{
+          .kind = kinds_.KindOfJob(submissions_.at(id).request.job),
+          .name = JobName(submissions_.at(id).request.job)},
       MonotonicNow() + kReadTimeout, [this, id](StoreAnswer&& answer) {
         if (answer.outcome != StoreOutcome::kOk || answer.objects.empty()) {
-          return WriteAgain(id);
+          return RetryWrite(id);
         }
         Accept(id, answer.objects.front().value);
       });
@@ -191,10 +195,10 @@
 
 // Writing again is harmless: the record is created once, whichever write is the
 // first to take effect.
-void JobWriter::WriteAgain(SubmissionId id) {
+void JobWriter::RetryWrite(SubmissionId id) {
   const Submission& submission = submissions_.at(id);
   if (MonotonicNow() >= submission.give_up_at || !store_.reachable()) {
-    return Finish(id, SubmitOutcome::kUnknown, "no_answer");
+    return FinishUnaccepted(id, SubmitOutcome::kUnknown, "no_answer");
   }
   Write(id);
 }
@@ -208,12 +212,12 @@
                            {"age_ms", ToMillis(now - request.arrived_at)}});
   metrics_.Add("knap_jobs_total",
                {std::string(NameOf(SubmitOutcome::kAccepted))});
-  if (!book_.Find(request.job)) {
+  if (!jobs_.Find(request.job)) {
     boost::leaf::try_handle_all(
         [&]() -> boost::leaf::result<void> {
           BOOST_LEAF_AUTO(job, DecodeJob(request.job, value, now,
                                          WallClockNanos() / kNanosPerMilli));
-          book_.AddJob(std::move(job));
+          jobs_.AddJob(std::move(job));
           return {};
         },
         [&](const Error& error) {
@@ -223,13 +227,13 @@
         [] {});
   }
   taken.mapped().done(SubmitOutcome::kAccepted);
-  quota_.OnRecordWritten(request.job,
-                         ports_.written({JobName(request.job), value}));
-  ports_.book_changed(request.job);
+  quota_.OnRecordWritten(
+      request.job, callbacks_.record_written({JobName(request.job), value}));
+  callbacks_.job_changed(request.job);
 }
 
-void JobWriter::Finish(SubmissionId id, SubmitOutcome outcome,
-                       std::string_view cause) {
+void JobWriter::FinishUnaccepted(SubmissionId id, SubmitOutcome outcome,
+                                 std::string_view cause) {
   auto taken = submissions_.extract(id);
   const std::string& job = taken.mapped().request.job;
   if (outcome == SubmitOutcome::kUnknown) {
@@ -237,17 +241,19 @@
   } else {
     quota_.Release(job);
   }
-  Refuse(taken.mapped().request, outcome, cause);
+  RecordRejection(taken.mapped().request, outcome, cause);
   taken.mapped().done(outcome);
 }
 
-void JobWriter::End(const std::string& job, TimePoint give_up_at, Ended done) {
-  const serving::BatchJob* known = book_.Find(job);
+void JobWriter::End(const std::string& job, TimePoint give_up_at,
+                    EndCallback done) {
+  const serving::BatchJob* known = jobs_.Find(job);
   if (known && known->ended) return done(EndOutcome::kEnded);
   if (!known) {
     // Known to exist or not known at all: the watch brings it in a moment.
-    return store_.CallAnyWay(
-        platform::ReadRequest{.kind = kinds_.Of(job), .name = JobName(job)},
+    return store_.CallDirectOrRelayed(
+        platform::ReadRequest{.kind = kinds_.KindOfJob(job),
+                              .name = JobName(job)},
         MonotonicNow() + kReadTimeout,
         [done = std::move(done)](StoreAnswer&& answer) {
           done(answer.outcome == StoreOutcome::kNotFound
@@ -255,8 +261,8 @@
                    : EndOutcome::kUnavailable);
         });
   }
-  store_.CallAnyWay(
-      platform::WriteRequest{.kind = kinds_.Of(job),
+  store_.CallDirectOrRelayed(
+      platform::WriteRequest{.kind = kinds_.KindOfJob(job),
                              .name = EndName(job),
                              .if_version = 0,
                              .value = "{}"},
@@ -267,15 +273,15 @@
 }
 
 void JobWriter::OnEndWritten(const std::string& job, TimePoint give_up_at,
-                             Ended done, const StoreAnswer& answer) {
+                             EndCallback done, const StoreAnswer& answer) {
   const bool written = answer.outcome == StoreOutcome::kOk ||
                        answer.outcome == StoreOutcome::kConflict;
   if (written) {
     LogInfo("job_ended", {{"job", job}});
-    ports_.written({EndName(job), "{}"});
-    book_.EndJob(job);
+    callbacks_.record_written({EndName(job), "{}"});
+    jobs_.EndJob(job);
     done(EndOutcome::kEnded);
-    return ports_.book_changed(job);
+    return callbacks_.job_changed(job);
   }
   const bool again =
       answer.outcome == StoreOutcome::kUnknown && MonotonicNow() < give_up_at;
--- a/libs/gateway/src/batch/job_writer.h
+++ b/libs/gateway/src/batch/job_writer.h
@@ -13,7 +13,7 @@
 #include "base/time.h"
 #include "batch/job_records.h"
 #include "observe/metrics.h"
-#include "peers/own_record.h"
+#include "peers/store_record.h"
 #include "platform/store_answer.h"
 #include "serving/job_table.h"
 #include "serving/quota_limiter.h"
@@ -42,29 +42,29 @@
 // return harmless.
 class JobWriter {
  public:
-  using Submitted = std::function<void(SubmitOutcome)>;
-  using Ended = std::function<void(EndOutcome)>;
-  struct Ports {
+  using SubmitCallback = std::function<void(SubmitOutcome)>;
+  using EndCallback = std::function<void(EndOutcome)>;
+  struct Callbacks {
     // A job or its end is new in the book.
-    std::function<void(const std::string& job)> book_changed;
+    std::function<void(const std::string& job)> job_changed;
     // A record is now in the store; its number among this entry's own.
-    std::function<uint64_t(const OwnRecord& record)> written;
+    std::function<uint64_t(const StoreRecord& record)> record_written;
     // Gateways that accept jobs of the shards held here, this one included.
-    std::function<size_t()> entries;
+    std::function<size_t()> gateway_count;
     // The part of all shards that these gateways hold.
-    std::function<double()> held_part;
+    std::function<double()> shard_share;
     // Whether what the other live entries have written is known here.
-    std::function<bool()> complete;
+    std::function<bool()> has_live_peer_records;
     // The same for all entries: none is silent, or the store was read just now.
-    std::function<bool()> current;
+    std::function<bool()> has_all_records;
     // Reads the store's records soon.
-    std::function<void()> refresh;
+    std::function<void()> refresh_records;
   };
   struct Request {
     std::string job;
     JobRecord record;
     uint64_t tokens = 0;
-    uint64_t most_waiting_tokens = 0;  // of the scope; zero: no limit
+    uint64_t max_waiting_tokens = 0;  // of the scope; zero: no limit
     TimePoint arrived_at;
 
     serving::QuotaScope scope() const {
@@ -73,59 +73,61 @@
   };
 
   JobWriter(StoreCalls& store, const RecordKinds& kinds,
-            serving::JobTable& book, observe::Metrics& metrics, Ports ports);
+            serving::JobTable& book, observe::Metrics& metrics,
+            Callbacks ports);
 
-  void Submit(Request&& request, Submitted done);
-  void End(const std::string& job, TimePoint give_up_at, Ended done);
+  void Submit(Request&& request, SubmitCallback done);
+  void End(const std::string& job, TimePoint give_up_at, EndCallback done);
   // Every live entry has this entry's records up to `number`. Jobs that waited
   // for that are judged again.
-  void OnHeard(uint64_t number, TimePoint now);
+  void OnAcknowledged(uint64_t number, TimePoint now);
   // Whether jobs wait for others to hear of them or of those before them.
-  bool awaits_others() const noexcept {
-    return !quota_.empty() || !held_.empty();
+  bool awaits_acknowledgement() const noexcept {
+    return !quota_.empty() || !deferred_.empty();
   }
 
  private:
   struct Submission {
     Request request;
-    Submitted done;
+    SubmitCallback done;
     TimePoint give_up_at;
     bool maybe_written = false;  // a write went unanswered
-    uint32_t refused_writes = 0;
+    uint32_t rejected_writes = 0;
   };
   using SubmissionId = uint64_t;
 
   // Waits until others have heard of the jobs before it.
-  struct Held {
+  struct DeferredSubmission {
     Request request;
-    Submitted done;
+    SubmitCallback done;
     TimePoint give_up_at;
   };
 
-  serving::QuotaVerdict Judge(const Request& request) const;
+  serving::QuotaVerdict CheckQuota(const Request& request) const;
   // Counts against the limit from now on; its record is written.
-  void Begin(Request&& request, Submitted done);
+  void StartSubmission(Request&& request, SubmitCallback done);
   void Write(SubmissionId id);
   void OnWritten(SubmissionId id, platform::StoreAnswer&& answer);
   void ReadBack(SubmissionId id);
-  void WriteAgain(SubmissionId id);
+  void RetryWrite(SubmissionId id);
   // The job is in the store with this record, by whichever entry.
   void Accept(SubmissionId id, const std::string& value);
-  void Finish(SubmissionId id, SubmitOutcome outcome, std::string_view cause);
-  void Refuse(const Request& request, SubmitOutcome outcome,
-              std::string_view cause);
-  void OnEndWritten(const std::string& job, TimePoint give_up_at, Ended done,
-                    const platform::StoreAnswer& answer);
+  void FinishUnaccepted(SubmissionId id, SubmitOutcome outcome,
+                        std::string_view cause);
+  void RecordRejection(const Request& request, SubmitOutcome outcome,
+                       std::string_view cause);
+  void OnEndWritten(const std::string& job, TimePoint give_up_at,
+                    EndCallback done, const platform::StoreAnswer& answer);
 
   StoreCalls& store_;
   const RecordKinds& kinds_;
-  serving::JobTable& book_;
+  serving::JobTable& jobs_;
   observe::Metrics& metrics_;
-  Ports ports_;
+  Callbacks callbacks_;
   serving::QuotaLimiter quota_;
   uint64_t last_submission_ = 0;
   std::unordered_map<SubmissionId, Submission> submissions_;
-  std::deque<Held> held_;  // in the order of their arrival
+  std::deque<DeferredSubmission> deferred_;  // in the order of their arrival
 };
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/batch/own_batches.cc
+++ b/libs/gateway/src/batch/native_batch_api.cc
@@ -1,4 +1,4 @@
-#include "batch/own_batches.h"
+#include "batch/native_batch_api.h"
 
 #include <fmt/format.h>
 
@@ -143,36 +143,36 @@
 }  // namespace
 
 // `/v1/batches/ID/VERB?after=N&limit=N` taken apart.
-struct OwnBatches::JobTarget {
+struct NativeBatchApi::JobTarget {
   std::string id;
   std::string verb;
   size_t after = 0;
   size_t limit = kMostResults;
 };
 
-OwnBatches::OwnBatches(const serving::RouteTable& routes,
-                       const serving::JobTable& book, JobWriter& writer,
-                       std::string own_name, Ports ports)
+NativeBatchApi::NativeBatchApi(const serving::RouteTable& routes,
+                               const serving::JobTable& book, JobWriter& writer,
+                               std::string own_name, Callbacks ports)
     : routes_(routes),
-      book_(book),
+      jobs_(book),
       writer_(writer),
       own_name_(std::move(own_name)),
-      ports_(std::move(ports)) {}
+      callbacks_(std::move(ports)) {}
 
-bool OwnBatches::IsTarget(std::string_view target) {
+bool NativeBatchApi::IsTarget(std::string_view target) {
   const std::string_view path = target.substr(0, target.find('?'));
   return path == kPath || path.starts_with(kRoutePath);
 }
 
-const serving::Route* OwnBatches::FindRoute(const serving::RouteTable& routes,
-                                            std::string_view host) {
+const serving::Route* NativeBatchApi::FindRoute(
+    const serving::RouteTable& routes, std::string_view host) {
   const serving::Route* route = routes.Find(host, kRoutePath);
   const bool batch = route && route->kind == serving::RouteKind::kBatch;
   return batch ? route : nullptr;
 }
 
-std::string OwnBatches::JobOf(const http::RequestEvent& request,
-                              const CallerIdentity& caller) {
+std::string NativeBatchApi::JobIdOf(const http::RequestEvent& request,
+                                    const CallerIdentity& caller) {
   const auto url = boost::urls::parse_origin_form(request.target);
   if (!url) return {};
   std::vector<std::string> path;
@@ -181,8 +181,8 @@
   return path.size() > 2 ? path[2] : std::string();
 }
 
-void OwnBatches::OnRequest(http::RequestEvent&& request,
-                           const CallerIdentity& caller) {
+void NativeBatchApi::OnRequest(http::RequestEvent&& request,
+                               const CallerIdentity& caller) {
   const auto url = boost::urls::parse_origin_form(request.target);
   std::vector<std::string> path;
   JobTarget target;
@@ -215,18 +215,18 @@
   RespondUnknownJob(request.exchange, caller);
 }
 
-void OwnBatches::Submit(http::RequestEvent&& request,
-                        const CallerIdentity& caller) {
+void NativeBatchApi::Submit(http::RequestEvent&& request,
+                            const CallerIdentity& caller) {
   const ExchangeId exchange = request.exchange;
   const serving::Route* route = FindRoute(routes_, caller.host);
   if (!route) {
     const bool unknown = routes_.version == 0;
-    return ports_.to_caller(ToCommand(
+    return callbacks_.to_caller(ToCommand(
         exchange, {.status = unknown ? 503U : 404U,
                    .code = "no_batch_route",
                    .message = "no batch route for /v1/batches/ on this host",
                    .request_id = caller.request_id,
-                   .truth = RunTruth::kNotRun}));
+                   .execution = RunTruth::kNotExecuted}));
   }
   const std::string id = IdOfSubmission(request, caller);
   boost::leaf::try_handle_all(
@@ -234,7 +234,7 @@
         BOOST_LEAF_AUTO(items, ParseLines(id, request.body));
         uint64_t tokens = 0;
         for (const BatchItem& item : items) {
-          if (!ports_.may_ask(item.body, caller)) {
+          if (!callbacks_.may_use_model(item.body, caller)) {
             return Fail(
                 ErrorCode::kInvalid,
                 "the workspace may not ask for the model of " + item.id);
@@ -246,7 +246,7 @@
                             own_name_, caller.host, *route, caller.workspace,
                             users_platform::RenderSubmission(items)),
                         .tokens = tokens,
-                        .most_waiting_tokens = route->max_waiting_tokens,
+                        .max_waiting_tokens = route->max_waiting_tokens,
                         .arrived_at = request.received_at},
                        [this, exchange, caller, id](SubmitOutcome outcome) {
                          OnSubmitted(exchange, caller, id, outcome);
@@ -254,22 +254,24 @@
         return {};
       },
       [&](const Error& error) {
-        ports_.to_caller(ToCommand(exchange, {.status = 400,
-                                              .code = "invalid_batch",
-                                              .message = error.message,
-                                              .request_id = caller.request_id,
-                                              .truth = RunTruth::kNotRun}));
+        callbacks_.to_caller(
+            ToCommand(exchange, {.status = 400,
+                                 .code = "invalid_batch",
+                                 .message = error.message,
+                                 .request_id = caller.request_id,
+                                 .execution = RunTruth::kNotExecuted}));
       },
       [] {});
 }
 
-void OwnBatches::OnSubmitted(ExchangeId exchange, const CallerIdentity& caller,
-                             const std::string& id, SubmitOutcome outcome) {
-  ErrorAnswer error{.code = NameOf(outcome),
-                    .message = "send the same job again with its key",
-                    .request_id = caller.request_id,
-                    .truth = RunTruth::kNotRun,
-                    .retry_after = kRetry};
+void NativeBatchApi::OnSubmitted(ExchangeId exchange,
+                                 const CallerIdentity& caller,
+                                 const std::string& id, SubmitOutcome outcome) {
+  ErrorResponse error{.code = NameOf(outcome),
+                      .message = "send the same job again with its key",
+                      .request_id = caller.request_id,
+                      .execution = RunTruth::kNotExecuted,
+                      .retry_after = kRetry};
   switch (outcome) {
     case SubmitOutcome::kAccepted:
       return RespondStatus(exchange, caller, 202, id);
@@ -286,16 +288,16 @@
       break;
     case SubmitOutcome::kUnknown:
       error.status = 504;
-      error.truth = RunTruth::kUnknown;
+      error.execution = RunTruth::kUnknown;
       break;
   }
-  ports_.to_caller(ToCommand(exchange, error));
+  callbacks_.to_caller(ToCommand(exchange, error));
 }
 
-void OwnBatches::RespondStatus(ExchangeId exchange,
-                               const CallerIdentity& caller, unsigned status,
-                               const std::string& id) {
-  const BatchJob* job = FindFor(caller, id);
+void NativeBatchApi::RespondStatus(ExchangeId exchange,
+                                   const CallerIdentity& caller,
+                                   unsigned status, const std::string& id) {
+  const BatchJob* job = FindJob(caller, id);
   if (!job) return RespondUnknownJob(exchange, caller);
   const auto failed = std::count_if(
       job->results.begin(), job->results.end(),
@@ -313,42 +315,42 @@
                    {"completed", listed - failed},
                    {"failed", failed},
                    {"cancelled", job->ended ? total - listed : 0}});
-  ports_.to_caller(std::move(command));
+  callbacks_.to_caller(std::move(command));
 }
 
 // Failure guarded against: a job that another entry accepted a moment ago and
 // that is not known here yet would be denied to its caller.
-void OwnBatches::RespondUnknownJob(ExchangeId exchange,
-                                   const CallerIdentity& caller) {
-  if (!ports_.current()) {
-    return ports_.to_caller(
+void NativeBatchApi::RespondUnknownJob(ExchangeId exchange,
+                                       const CallerIdentity& caller) {
+  if (!callbacks_.has_all_records()) {
+    return callbacks_.to_caller(
         ToCommand(exchange, {.status = 503,
                              .code = "not_current",
                              .message = "not all jobs are known here now",
                              .request_id = caller.request_id,
                              .retry_after = kRetry}));
   }
-  ports_.to_caller(ToCommand(exchange, {.status = 404,
-                                        .code = "batch_not_found",
-                                        .message = "no such batch job",
-                                        .request_id = caller.request_id}));
+  callbacks_.to_caller(ToCommand(exchange, {.status = 404,
+                                            .code = "batch_not_found",
+                                            .message = "no such batch job",
+                                            .request_id = caller.request_id}));
 }
 
 // A job of another workspace is not shown to exist.
-const BatchJob* OwnBatches::FindFor(const CallerIdentity& caller,
-                                    const std::string& id) const {
-  const BatchJob* job = book_.Find(id);
+const BatchJob* NativeBatchApi::FindJob(const CallerIdentity& caller,
+                                        const std::string& id) const {
+  const BatchJob* job = jobs_.Find(id);
   return job && job->workspace == caller.workspace ? job : nullptr;
 }
 
-void OwnBatches::Status(ExchangeId exchange, const CallerIdentity& caller,
-                        const std::string& id) {
+void NativeBatchApi::Status(ExchangeId exchange, const CallerIdentity& caller,
+                            const std::string& id) {
   RespondStatus(exchange, caller, 200, id);
 }
 
-void OwnBatches::Results(ExchangeId exchange, const CallerIdentity& caller,
-                         const JobTarget& target) {
-  const BatchJob* job = FindFor(caller, target.id);
+void NativeBatchApi::Results(ExchangeId exchange, const CallerIdentity& caller,
+                             const JobTarget& target) {
+  const BatchJob* job = FindJob(caller, target.id);
   if (!job) return RespondUnknownJob(exchange, caller);
   const size_t end = std::min(job->results.size(), target.after + target.limit);
   http::RespondCommand command{.exchange = exchange, .status = 200};
@@ -362,12 +364,13 @@
     command.headers.Add("X-Next-After",
                         std::to_string(std::max(end, target.after)));
   }
-  ports_.to_caller(std::move(command));
+  callbacks_.to_caller(std::move(command));
 }
 
-void OwnBatches::Cancel(const http::RequestEvent& request,
-                        const CallerIdentity& caller, const std::string& id) {
-  if (!FindFor(caller, id)) return RespondUnknownJob(request.exchange, caller);
+void NativeBatchApi::Cancel(const http::RequestEvent& request,
+                            const CallerIdentity& caller,
+                            const std::string& id) {
+  if (!FindJob(caller, id)) return RespondUnknownJob(request.exchange, caller);
   writer_.End(id, request.received_at + kCancelTimeout,
               [this, exchange = request.exchange, caller, id](EndOutcome end) {
                 if (end == EndOutcome::kEnded) {
@@ -376,7 +379,7 @@
                 if (end == EndOutcome::kNotFound) {
                   return RespondUnknownJob(exchange, caller);
                 }
-                ports_.to_caller(ToCommand(
+                callbacks_.to_caller(ToCommand(
                     exchange, {.status = 503,
                                .code = "platform_unavailable",
                                .message = "send the cancellation again",
--- a/libs/gateway/src/batch/own_batches.h
+++ b/libs/gateway/src/batch/native_batch_api.h
@@ -1,5 +1,5 @@
-#ifndef KNAPWEEDSTILE_GATEWAY_OWN_BATCHES_H_
-#define KNAPWEEDSTILE_GATEWAY_OWN_BATCHES_H_
+#ifndef KNAPWEEDSTILE_GATEWAY_NATIVE_BATCH_API_H_
+#define KNAPWEEDSTILE_GATEWAY_NATIVE_BATCH_API_H_
 
 #include <functional>
 #include <string>
@@ -23,27 +23,28 @@
 //   POST /v1/batches/ID/cancel
 //
 // They are the same jobs as those in the platform's form: one book, one writer.
-class OwnBatches {
+class NativeBatchApi {
  public:
-  struct Ports {
+  struct Callbacks {
     std::function<void(http::ServerCommand&&)> to_caller;
     // Whether all records that exist are known here.
-    std::function<bool()> current;
+    std::function<bool()> has_all_records;
     // Whether the caller's workspace may ask for the model of an item.
     std::function<bool(std::string_view body, const CallerIdentity& caller)>
-        may_ask;
+        may_use_model;
   };
 
-  OwnBatches(const serving::RouteTable& routes, const serving::JobTable& book,
-             JobWriter& writer, std::string own_name, Ports ports);
+  NativeBatchApi(const serving::RouteTable& routes,
+                 const serving::JobTable& book, JobWriter& writer,
+                 std::string own_name, Callbacks ports);
 
   static bool IsTarget(std::string_view target);
   // The route whose settings hold for these jobs on the host, or null.
   static const serving::Route* FindRoute(const serving::RouteTable& routes,
                                          std::string_view host);
   // The job that the request is about, or would submit; empty: none.
-  static std::string JobOf(const http::RequestEvent& request,
-                           const CallerIdentity& caller);
+  static std::string JobIdOf(const http::RequestEvent& request,
+                             const CallerIdentity& caller);
   void OnRequest(http::RequestEvent&& request, const CallerIdentity& caller);
 
  private:
@@ -60,17 +61,17 @@
                    const std::string& id, SubmitOutcome outcome);
   void RespondStatus(ExchangeId exchange, const CallerIdentity& caller,
                      unsigned status, const std::string& id);
-  const serving::BatchJob* FindFor(const CallerIdentity& caller,
+  const serving::BatchJob* FindJob(const CallerIdentity& caller,
                                    const std::string& id) const;
   void RespondUnknownJob(ExchangeId exchange, const CallerIdentity& caller);
 
   const serving::RouteTable& routes_;
-  const serving::JobTable& book_;
+  const serving::JobTable& jobs_;
   JobWriter& writer_;
   std::string own_name_;
-  Ports ports_;
+  Callbacks callbacks_;
 };
 
 }  // namespace knapweedstile::gateway
 
-#endif  // KNAPWEEDSTILE_GATEWAY_OWN_BATCHES_H_
+#endif  // KNAPWEEDSTILE_GATEWAY_NATIVE_BATCH_API_H_
--- a/libs/gateway/src/batch/record_kinds.cc
+++ b/libs/gateway/src/batch/record_kinds.cc
@@ -7,15 +7,15 @@
 namespace knapweedstile::gateway {
 
 std::string RecordKinds::KindOfShard(uint32_t shard) const {
-  if (!fleet_.divided()) return kOwnKind;
-  return fmt::format("{}-{}of{}", kOwnKind, shard, fleet_.layout().shards);
+  if (!fleet_.divided()) return kRecordKind;
+  return fmt::format("{}-{}of{}", kRecordKind, shard, fleet_.layout().shards);
 }
 
-std::string RecordKinds::Of(std::string_view job) const {
+std::string RecordKinds::KindOfJob(std::string_view job) const {
   return KindOfShard(fleet_.ShardOf(job));
 }
 
-std::vector<std::string> RecordKinds::Own() const {
+std::vector<std::string> RecordKinds::OwnKinds() const {
   std::vector<std::string> kinds;
   for (const uint32_t shard : fleet_.OwnShards()) {
     kinds.push_back(KindOfShard(shard));
--- a/libs/gateway/src/batch/record_kinds.h
+++ b/libs/gateway/src/batch/record_kinds.h
@@ -16,9 +16,9 @@
  public:
   explicit RecordKinds(const cluster::FleetView& fleet) : fleet_(fleet) {}
 
-  std::string Of(std::string_view job) const;
+  std::string KindOfJob(std::string_view job) const;
   // Those that this gateway follows.
-  std::vector<std::string> Own() const;
+  std::vector<std::string> OwnKinds() const;
 
  private:
   std::string KindOfShard(uint32_t shard) const;
--- a/libs/gateway/src/batch/record_reader.cc
+++ b/libs/gateway/src/batch/record_reader.cc
@@ -16,22 +16,22 @@
 
 }  // namespace
 
-RecordReader::RecordReader(serving::JobTable& book, Ports ports)
-    : book_(book), ports_(std::move(ports)) {}
+RecordReader::RecordReader(serving::JobTable& book, Callbacks ports)
+    : jobs_(book), callbacks_(std::move(ports)) {}
 
-void RecordReader::Take(const platform::StoredObject& object) {
+void RecordReader::ApplyRecord(const platform::StoredObject& object) {
   const RecordName name = ParseRecordName(object.name);
   switch (name.type) {
     case RecordType::kJob:
-      return object.deleted ? book_.RemoveJob(name.id)
+      return object.deleted ? jobs_.RemoveJob(name.id)
                             : AddJob(name.id, object);
     case RecordType::kSegment:
       if (!object.deleted) AddSegment(name, object);
       return;
     case RecordType::kEnd:
       if (object.deleted) return;
-      book_.EndJob(name.id);
-      return ports_.progress(name.id);
+      jobs_.EndJob(name.id);
+      return callbacks_.job_updated(name.id);
     case RecordType::kUnknown:
       return LogWarning("record_unknown", {{"name", object.name}});
   }
@@ -39,12 +39,12 @@
 
 void RecordReader::AddJob(const std::string& id,
                           const platform::StoredObject& object) {
-  if (book_.Find(id)) return;
+  if (jobs_.Find(id)) return;
   boost::leaf::try_handle_all(
       [&]() -> boost::leaf::result<void> {
         BOOST_LEAF_AUTO(job, DecodeJob(id, object.value, MonotonicNow(),
                                        WallClockNanos() / kNanosPerMilli));
-        book_.AddJob(std::move(job));
+        jobs_.AddJob(std::move(job));
         return {};
       },
       [&](const Error& error) {
@@ -57,12 +57,12 @@
 // decoded again.
 void RecordReader::AddSegment(const RecordName& name,
                               const platform::StoredObject& object) {
-  if (book_.HasSegment(name.id, name.segment)) return;
+  if (jobs_.HasSegment(name.id, name.segment)) return;
   boost::leaf::try_handle_all(
       [&]() -> boost::leaf::result<void> {
         BOOST_LEAF_AUTO(results, DecodeSegment(object.value));
-        book_.AddSegment(name.id, name.segment, std::move(results));
-        ports_.progress(name.id);
+        jobs_.AddSegment(name.id, name.segment, std::move(results));
+        callbacks_.job_updated(name.id);
         return {};
       },
       [&](const Error& error) {
--- a/libs/gateway/src/batch/record_reader.h
+++ b/libs/gateway/src/batch/record_reader.h
@@ -19,21 +19,21 @@
 // entries, into the book.
 class RecordReader {
  public:
-  struct Ports {
+  struct Callbacks {
     // A job has results or its end that were not known here.
-    std::function<void(const std::string& job)> progress;
+    std::function<void(const std::string& job)> job_updated;
   };
 
-  RecordReader(serving::JobTable& book, Ports ports);
+  RecordReader(serving::JobTable& book, Callbacks ports);
 
-  void Take(const platform::StoredObject& object);
+  void ApplyRecord(const platform::StoredObject& object);
 
  private:
   void AddJob(const std::string& id, const platform::StoredObject& object);
   void AddSegment(const RecordName& name, const platform::StoredObject& object);
 
-  serving::JobTable& book_;
-  Ports ports_;
+  serving::JobTable& jobs_;
+  Callbacks callbacks_;
 };
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/batch/result_committer.cc
+++ b/libs/gateway/src/batch/result_committer.cc
@@ -44,14 +44,14 @@
 ResultCommitter::ResultCommitter(
     StoreCalls& store, const RecordKinds& kinds, serving::JobTable& book,
     std::function<void(const std::string&)> committed,
-    std::function<void(const OwnRecord&)> written)
+    std::function<void(const StoreRecord&)> written)
     : store_(store),
       kinds_(kinds),
-      book_(book),
+      jobs_(book),
       committed_(std::move(committed)),
       written_(std::move(written)) {}
 
-void ResultCommitter::Note(const std::string& job, TimePoint now) {
+void ResultCommitter::OnItemFinished(const std::string& job, TimePoint now) {
   const auto [pending, is_new] = pending_.try_emplace(job);
   if (is_new) pending->second.write_at = now + kGatherTime;
 }
@@ -64,8 +64,8 @@
       ++at;
       continue;
     }
-    const serving::BatchJob* known = book_.Find(job);
-    if (!known || known->ended || book_.UncommittedResults(job).empty()) {
+    const serving::BatchJob* known = jobs_.Find(job);
+    if (!known || known->ended || jobs_.UncommittedResults(job).empty()) {
       at = pending_.erase(at);
       continue;
     }
@@ -76,12 +76,12 @@
 
 void ResultCommitter::Write(const std::string& job, Pending& pending) {
   pending.in_flight = true;
-  pending.number = book_.Find(job)->segments;
-  pending.results = Fitting(book_.UncommittedResults(job));
+  pending.number = jobs_.Find(job)->segments;
+  pending.results = Fitting(jobs_.UncommittedResults(job));
   pending.record = {SegmentName(job, pending.number),
                     EncodeSegment(pending.results)};
-  store_.CallAnyWay(
-      platform::WriteRequest{.kind = kinds_.Of(job),
+  store_.CallDirectOrRelayed(
+      platform::WriteRequest{.kind = kinds_.KindOfJob(job),
                              .name = pending.record.name,
                              .if_version = 0,
                              .value = pending.record.value},
@@ -94,7 +94,7 @@
   switch (answer.outcome) {
     case StoreOutcome::kOk:
       written_(pending.record);
-      return Adopt(job, pending.number, std::move(pending.results));
+      return ApplySegment(job, pending.number, std::move(pending.results));
     case StoreOutcome::kConflict:
     case StoreOutcome::kUnknown:
       return ReadBack(job, pending.number);
@@ -103,23 +103,24 @@
                                       {"segment", pending.number},
                                       {"outcome", NameOf(answer.outcome)},
                                       {"reason", answer.message}});
-      return TryLater(job);
+      return ScheduleRetry(job);
   }
 }
 
 void ResultCommitter::ReadBack(const std::string& job, uint32_t number) {
-  store_.CallAnyWay(platform::ReadRequest{.kind = kinds_.Of(job),
-                                          .name = SegmentName(job, number)},
-                    MonotonicNow() + kWriteTimeout,
-                    [this, job, number](StoreAnswer&& answer) {
-                      OnReadBack(job, number, std::move(answer));
-                    });
+  store_.CallDirectOrRelayed(
+      platform::ReadRequest{.kind = kinds_.KindOfJob(job),
+                            .name = SegmentName(job, number)},
+      MonotonicNow() + kWriteTimeout,
+      [this, job, number](StoreAnswer&& answer) {
+        OnReadBack(job, number, std::move(answer));
+      });
 }
 
 void ResultCommitter::OnReadBack(const std::string& job, uint32_t number,
                                  StoreAnswer&& answer) {
   if (answer.outcome != StoreOutcome::kOk || answer.objects.empty()) {
-    return TryLater(job);
+    return ScheduleRetry(job);
   }
   boost::leaf::try_handle_all(
       [&]() -> boost::leaf::result<void> {
@@ -127,23 +128,23 @@
         BOOST_LEAF_AUTO(results, DecodeSegment(object.value));
         // It may be this entry's own, whose answer was lost.
         written_({object.name, object.value});
-        Adopt(job, number, std::move(results));
+        ApplySegment(job, number, std::move(results));
         return {};
       },
       [&](const Error& error) {
         LogError(
             "segment_invalid",
             {{"job", job}, {"segment", number}, {"reason", error.message}});
-        TryLater(job);
+        ScheduleRetry(job);
       },
-      [&] { TryLater(job); });
+      [&] { ScheduleRetry(job); });
 }
 
-void ResultCommitter::Adopt(const std::string& job, uint32_t number,
-                            std::vector<ItemResult>&& results) {
+void ResultCommitter::ApplySegment(const std::string& job, uint32_t number,
+                                   std::vector<ItemResult>&& results) {
   LogInfo("segment_committed",
           {{"job", job}, {"segment", number}, {"results", results.size()}});
-  book_.AddSegment(job, number, std::move(results));
+  jobs_.AddSegment(job, number, std::move(results));
   Pending& pending = pending_[job];
   pending.in_flight = false;
   pending.results.clear();
@@ -151,7 +152,7 @@
   committed_(job);
 }
 
-void ResultCommitter::TryLater(const std::string& job) {
+void ResultCommitter::ScheduleRetry(const std::string& job) {
   Pending& pending = pending_[job];
   pending.in_flight = false;
   pending.write_at = MonotonicNow() + kRetryPause;
--- a/libs/gateway/src/batch/result_committer.h
+++ b/libs/gateway/src/batch/result_committer.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "base/time.h"
-#include "peers/own_record.h"
+#include "peers/store_record.h"
 #include "platform/store_answer.h"
 #include "serving/item_result.h"
 #include "serving/job_table.h"
@@ -28,10 +28,10 @@
   ResultCommitter(StoreCalls& store, const RecordKinds& kinds,
                   serving::JobTable& book,
                   std::function<void(const std::string& job)> committed,
-                  std::function<void(const OwnRecord& record)> written);
+                  std::function<void(const StoreRecord& record)> written);
 
   // An item of the job has finished.
-  void Note(const std::string& job, TimePoint now);
+  void OnItemFinished(const std::string& job, TimePoint now);
   // Starts the writes that are due.
   void Run(TimePoint now);
   // Results that are not in the store yet.
@@ -42,7 +42,7 @@
     TimePoint write_at{};
     bool in_flight = false;
     uint32_t number = 0;  // of the segment in flight
-    OwnRecord record;     // the segment in flight
+    StoreRecord record;   // the segment in flight
     std::vector<serving::ItemResult> results;
   };
 
@@ -51,15 +51,15 @@
   void ReadBack(const std::string& job, uint32_t number);
   void OnReadBack(const std::string& job, uint32_t number,
                   platform::StoreAnswer&& answer);
-  void Adopt(const std::string& job, uint32_t number,
-             std::vector<serving::ItemResult>&& results);
-  void TryLater(const std::string& job);
+  void ApplySegment(const std::string& job, uint32_t number,
+                    std::vector<serving::ItemResult>&& results);
+  void ScheduleRetry(const std::string& job);
 
   StoreCalls& store_;
   const RecordKinds& kinds_;
-  serving::JobTable& book_;
+  serving::JobTable& jobs_;
   std::function<void(const std::string&)> committed_;
-  std::function<void(const OwnRecord&)> written_;
+  std::function<void(const StoreRecord&)> written_;
   std::map<std::string, Pending> pending_;  // by job
 };
 
--- a/libs/gateway/src/callers/caller_identity.cc
+++ b/libs/gateway/src/callers/caller_identity.cc
@@ -88,8 +88,8 @@
   return caller;
 }
 
-bool MayAskModel(std::string_view body, const CallerIdentity& caller,
-                 const Directory& workspaces) {
+bool IsModelAllowed(std::string_view body, const CallerIdentity& caller,
+                    const Directory& workspaces) {
   const Workspace* workspace = workspaces.Find(caller.workspace);
   if (!workspace || workspace->models.empty()) return true;
   const std::vector<std::string>& models = workspace->models;
--- a/libs/gateway/src/callers/caller_identity.h
+++ b/libs/gateway/src/callers/caller_identity.h
@@ -11,7 +11,7 @@
 #include "http/header_list.h"
 
 namespace knapweedstile::workspaces {
-class Directory;
+class WorkspaceDirectory;
 }
 
 namespace knapweedstile::gateway {
@@ -38,12 +38,12 @@
 
 // `made_id` serves a request that names none.
 CallerIdentity ReadCaller(const http::HeaderList& headers,
-                          const workspaces::Directory& workspaces,
+                          const workspaces::WorkspaceDirectory& workspaces,
                           const std::string& made_id);
 
 // Whether the caller's workspace may ask for the model that `body` names.
-bool MayAskModel(std::string_view body, const CallerIdentity& caller,
-                 const workspaces::Directory& workspaces);
+bool IsModelAllowed(std::string_view body, const CallerIdentity& caller,
+                    const workspaces::WorkspaceDirectory& workspaces);
 
 }  // namespace knapweedstile::gateway
 
--- a/libs/gateway/src/callers/error_answer.cc
+++ b/libs/gateway/src/callers/error_answer.cc
@@ -19,13 +19,14 @@
 
 }  // namespace
 
-http::RespondCommand ToCommand(ExchangeId exchange, const ErrorAnswer& error) {
+http::RespondCommand ToCommand(ExchangeId exchange,
+                               const ErrorResponse& error) {
   json::object fields = {{"type", TypeOf(error.status)},
                          {"code", error.code},
                          {"message", error.message},
                          {"request_id", error.request_id}};
-  if (error.truth == RunTruth::kNotRun) fields["not_run"] = true;
-  if (error.truth == RunTruth::kUnknown) fields["outcome"] = "unknown";
+  if (error.execution == RunTruth::kNotExecuted) fields["not_run"] = true;
+  if (error.execution == RunTruth::kUnknown) fields["outcome"] = "unknown";
   http::RespondCommand command{.exchange = exchange, .status = error.status};
   command.headers.Add("Content-Type", "application/json");
   command.headers.Add("X-Request-Id", error.request_id);
--- a/libs/gateway/src/callers/error_answer.h
+++ b/libs/gateway/src/callers/error_answer.h
@@ -11,23 +11,23 @@
 namespace knapweedstile::gateway {
 
 // What a caller may conclude about its request from an error.
-enum class RunTruth {
-  kNotRun,   // it provably did not run
-  kUnknown,  // it may have run
-  kUnsaid,   // the question does not arise
+enum class ExecutionStatus {
+  kNotExecuted,    // it provably did not run
+  kUnknown,        // it may have run
+  kNotApplicable,  // the question does not arise
 };
 
-struct ErrorAnswer {
+struct ErrorResponse {
   unsigned status = 500;
   std::string_view code;  // stable, for programs
   std::string_view message;
   std::string request_id;
-  RunTruth truth = RunTruth::kUnsaid;
+  RunTruth execution = RunTruth::kNotApplicable;
   std::optional<Duration> retry_after;
 };
 
 // The answer that carries the error, in the shape of the OpenAI interface.
-http::RespondCommand ToCommand(ExchangeId exchange, const ErrorAnswer& error);
+http::RespondCommand ToCommand(ExchangeId exchange, const ErrorResponse& error);
 
 }  // namespace knapweedstile::gateway
 
--- a/libs/gateway/src/callers/intake.h
+++ b/libs/gateway/src/callers/intake.h
@@ -27,9 +27,9 @@
 // come yet: 401 and 404 are said only while what is known here is the present
 // state; else the configuration is read again and the caller is told to come
 // back. Without any configuration it is always told so.
-class Intake {
+class RequestAdmission {
  public:
-  struct Ports {
+  struct Callbacks {
     std::function<void(http::ServerCommand&&)> to_caller;
     std::function<void(http::RequestEvent&&, const serving::Route&,
                        const CallerIdentity&, bool less_urgent)>
@@ -46,16 +46,16 @@
     // How old what is known of the configuration may be; zero: it is followed.
     std::function<Duration()> configuration_age;
     // Reads the configuration again.
-    std::function<void()> look_again;
+    std::function<void()> reload_configuration;
   };
 
   // Requests that name none have ids that begin with `id_prefix`. Beyond
   // `trust_for` without news of the configuration no key is taken for valid;
   // zero: what was known last holds on.
-  Intake(const serving::RouteTable& routes,
-         const workspaces::Directory& workspaces, workspaces::RateQuota& rate,
-         observe::Metrics& metrics, std::string id_prefix, Duration trust_for,
-         Ports ports);
+  RequestAdmission(const serving::RouteTable& routes,
+                   const workspaces::WorkspaceDirectory& workspaces,
+                   workspaces::RateQuota& rate, observe::Metrics& metrics,
+                   std::string id_prefix, Duration trust_for, Callbacks ports);
 
   void OnRequest(http::RequestEvent&& request);
   // A call on a batch job that another gateway has taken from its caller and
@@ -65,30 +65,31 @@
 
  private:
   // Each is false when the caller has been told that the request goes nowhere.
-  bool MayEnter(const http::RequestEvent& request,
-                const CallerIdentity& identity, bool is_public);
-  bool MayAsk(const http::RequestEvent& request,
-              const CallerIdentity& identity);
-  bool FitsRate(const http::RequestEvent& request,
-                const CallerIdentity& identity);
-  void RefuseRoute(const http::RequestEvent& request,
-                   const CallerIdentity& identity);
-  void Refuse(const http::RequestEvent& request, const CallerIdentity& identity,
-              const ErrorAnswer& error, std::string_view cause);
+  bool Authorize(const http::RequestEvent& request,
+                 const CallerIdentity& identity, bool is_public);
+  bool CheckModel(const http::RequestEvent& request,
+                  const CallerIdentity& identity);
+  bool CheckRate(const http::RequestEvent& request,
+                 const CallerIdentity& identity);
+  void RejectUnknownRoute(const http::RequestEvent& request,
+                          const CallerIdentity& identity);
+  void Reject(const http::RequestEvent& request, const CallerIdentity& identity,
+              const ErrorResponse& error, std::string_view cause);
   // Tells the caller to come back when the configuration has been read again.
-  void RefuseInDoubt(const http::RequestEvent& request,
-                     const CallerIdentity& identity, std::string_view cause);
+  void RejectTemporarily(const http::RequestEvent& request,
+                         const CallerIdentity& identity,
+                         std::string_view cause);
   // Whether the route on which jobs of the host are handed in is public.
-  bool HasPublicJobs(std::string_view host) const;
+  bool HasPublicBatchRoute(std::string_view host) const;
 
   const serving::RouteTable& routes_;
-  const workspaces::Directory& workspaces_;
+  const workspaces::WorkspaceDirectory& workspaces_;
   workspaces::RateQuota& rate_;
   observe::Metrics& metrics_;
   std::string id_prefix_;
   Duration trust_for_;
-  Ports ports_;
-  uint64_t made_ids_ = 0;
+  Callbacks callbacks_;
+  uint64_t generated_ids_ = 0;
 };
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/gateway.cc
+++ b/libs/gateway/src/gateway.cc
@@ -31,56 +31,57 @@
 }  // namespace
 
 Result<bool> Gateway::Start() {
-  BOOST_LEAF_CHECK(pages_.Listen());
+  BOOST_LEAF_CHECK(admin_server_.Listen());
   BOOST_LEAF_CHECK(peers_.Listen(settings_.ip, settings_.peer_port));
-  BOOST_LEAF_CHECK(
-      push_.Listen(fmt::format("{}:{}", settings_.ip, settings_.peer_port)));
-  BOOST_LEAF_CHECK(callers_.Listen(settings_.callers_address));
-  store_.SetRelay(&relay_);
-  push_.SetOtherHandler([this](http::RequestEvent&& request) {
+  BOOST_LEAF_CHECK(record_push_.Listen(
+      fmt::format("{}:{}", settings_.ip, settings_.peer_port)));
+  BOOST_LEAF_CHECK(caller_server_.Listen(settings_.callers_address));
+  store_.SetRelay(&store_relay_);
+  record_push_.SetOtherHandler([this](http::RequestEvent&& request) {
     OnPeerRequest(std::move(request));
   });
-  push_.SetGoneHandler(
-      [this](ExchangeId exchange) { batch_.OnCallerGone(exchange); });
+  record_push_.SetDisconnectHandler([this](ExchangeId exchange) {
+    batch_api_.OnCallerDisconnected(exchange);
+  });
   store_.SetRegainedHandler([this] {
     follower_.OnStoreRegained();
     record_mirrors_.OnStoreRegained();
   });
   follower_.Start();
-  ArmTick();
+  ScheduleTick();
   return true;
 }
 
 void Gateway::OnPeerRequest(http::RequestEvent&& request) {
   if (JobForwarder::IsTarget(request.target)) return OnJobCall(request);
-  if (NewsLink::IsTarget(request.target)) {
-    follower_.OnNewsRequest(request);
+  if (StoreUpdateLink::IsTarget(request.target)) {
+    follower_.OnStoreUpdateRequest(request);
   } else if (ProgressLink::IsTarget(request.target)) {
-    progress_.OnRequest(request);
+    progress_link_.OnRequest(request);
   } else {
-    return relay_.OnRequest(request);
+    return store_relay_.OnRequest(request);
   }
-  push_.Respond(request.exchange, {});
+  record_push_.Respond(request.exchange, {});
 }
 
-void Gateway::ToCaller(http::ServerCommand&& command) {
+void Gateway::SendToCaller(http::ServerCommand&& command) {
   const ExchangeId exchange =
       std::visit([](const auto& c) { return c.exchange; }, command);
-  if (RecordPush::IsOwnExchange(exchange)) {
-    return push_.Execute(std::move(command));
+  if (RecordPush::IsPeerExchange(exchange)) {
+    return record_push_.Execute(std::move(command));
   }
-  callers_.Execute(std::move(command));
+  caller_server_.Execute(std::move(command));
 }
 
 bool Gateway::OnCallerEvent(http::ServerEvent&& event) {
   if (const auto* gone = std::get_if<http::DisconnectEvent>(&event)) {
-    online_.OnCallerGone(gone->exchange);
-    batch_.OnCallerGone(gone->exchange);
-    forwarder_.OnCallerGone(gone->exchange);
+    online_.OnCallerDisconnected(gone->exchange);
+    batch_api_.OnCallerDisconnected(gone->exchange);
+    forwarder_.OnCallerDisconnected(gone->exchange);
     return true;
   }
-  NoticePause();
-  intake_.OnRequest(std::get<http::RequestEvent>(std::move(event)));
+  CheckForPause();
+  admission_.OnRequest(std::get<http::RequestEvent>(std::move(event)));
   return true;
 }
 
@@ -111,9 +112,9 @@
         routes_ = std::move(table);
         workspaces_.SetConfigured(std::move(configuration.workspaces));
         UpdateRateMembers();
-        follower_.NoticeConfigurationAge(MonotonicNow());
-        policies_.Attach();
-        callers_.SetLimits(
+        follower_.UpdateConfigurationAge(MonotonicNow());
+        policies_.UpdateServerPolicies();
+        caller_server_.SetLimits(
             routes_.limits.max_header_bytes, routes_.limits.max_body_bytes,
             routes_.limits.header_timeout, routes_.limits.idle_timeout);
         return {};
@@ -131,35 +132,36 @@
 // servers seconds after the caller was told so. What was counted by others or
 // written before now is read first; items that already run go on meanwhile.
 void Gateway::RunBatch(TimePoint now) {
-  ownership_.SetKnowsEnds(record_mirrors_.caught_up() && !sync_.HasGap(now));
+  ownership_.SetEndRecordsLoaded(record_mirrors_.caught_up() &&
+                                 !sync_tracker_.HasGap(now));
   runner_.Run(now);
 }
 
-void Gateway::NoticePause() {
-  if (!pauses_.Passed(BootNow())) return;
+void Gateway::CheckForPause() {
+  if (!pause_detector_.DetectPause(BootNow())) return;
   LogWarning("paused");
-  sync_.OnPaused(MonotonicNow());
-  rate_.OnPaused();
-  rate_.Expire(MonotonicNow());
-  record_mirrors_.ReadAnew();
+  sync_tracker_.OnPaused(MonotonicNow());
+  rate_quota_.OnPaused();
+  rate_quota_.Expire(MonotonicNow());
+  record_mirrors_.ReadAgain();
 }
 
-bool Gateway::Current() {
-  NoticePause();
-  sync_.OnWanted(MonotonicNow());
-  return sync_.Current(MonotonicNow());
+bool Gateway::HasAllRecords() {
+  CheckForPause();
+  sync_tracker_.OnCallerWaiting(MonotonicNow());
+  return sync_tracker_.IsCurrent(MonotonicNow());
 }
 
-bool Gateway::Complete() {
-  NoticePause();
-  return sync_.Complete(MonotonicNow());
+bool Gateway::HasLivePeerRecords() {
+  CheckForPause();
+  return sync_tracker_.IsComplete(MonotonicNow());
 }
 
 void Gateway::RefreshRecords() {
   const TimePoint now = MonotonicNow();
-  if (now - refreshed_records_at_ < kRecordsRefreshPause) return;
-  refreshed_records_at_ = now;
-  record_mirrors_.ReadAnew();
+  if (now - records_refreshed_at_ < kRecordsRefreshPause) return;
+  records_refreshed_at_ = now;
+  record_mirrors_.ReadAgain();
 }
 
 void Gateway::SetWorkspaceObjects() {
@@ -170,36 +172,36 @@
   workspaces_.SetObjects(std::move(objects));
 }
 
-void Gateway::ArmTick() {
-  tick_.expires_after(kTick);
-  tick_.async_wait([this](const boost::system::error_code& ec) {
+void Gateway::ScheduleTick() {
+  tick_timer_.expires_after(kTick);
+  tick_timer_.async_wait([this](const boost::system::error_code& ec) {
     if (!ec) Tick();
   });
 }
 
 void Gateway::Tick() {
-  NoticePause();
+  CheckForPause();
   const TimePoint now = MonotonicNow();
-  if (servers_.Expire(now)) policies_.Attach();
+  if (servers_.Expire(now)) policies_.UpdateServerPolicies();
   RefreshFleet(now);
   peers_.Expire(now);
-  rate_.Expire(now);
+  rate_quota_.Expire(now);
   follower_.Run(now);
-  board_.ExpirePeerReports(now);
-  board_.ObserveDemand(now);
-  crashes_.Expire(now);
-  runner_.GiveWay(now);
+  scheduler_.ExpirePeerReports(now);
+  scheduler_.ObserveDemand(now);
+  crash_tracker_.Expire(now);
+  runner_.PreemptBlockingItems(now);
   RunBatch(now);
   committer_.Run(now);
   collector_.Run(now);
-  batch_.Expire(now);
-  OnRecordsHeard();
-  sharer_.Run(now);
-  ShareProgress(now, kProgressStep);
-  if (sync_.MustAskStore(now)) record_mirrors_.Poke();
-  if (sync_.HasGap(now)) record_mirrors_.RenewWatch();
-  if (stop_began_at_ != kNever) CheckStopped(now);
-  ArmTick();
+  batch_api_.Expire(now);
+  OnRecordsAcknowledged();
+  publisher_.Run(now);
+  SendProgress(now, kProgressStep);
+  if (sync_tracker_.NeedsStoreRead(now)) record_mirrors_.SkipPause();
+  if (sync_tracker_.HasGap(now)) record_mirrors_.RenewWatch();
+  if (stop_began_at_ != kNever) AdvanceStop(now);
+  ScheduleTick();
 }
 
 void Gateway::BeginStop() {
@@ -210,35 +212,35 @@
   LogInfo("stopping", {{"online", online_.open()},
                        {"items", runner_.running()},
                        {"grace_ms", settings_.stop_grace.count()}});
-  callers_.BeginDraining();
+  caller_server_.BeginDraining();
   // Items that wait are taken over at once, from where they are.
-  shared_progress_at_ = TimePoint{};
-  ShareProgress(stop_began_at_, 1);
-  sharer_.ShareWhole(stop_began_at_);
+  progress_sent_at_ = TimePoint{};
+  SendProgress(stop_began_at_, 1);
+  publisher_.PublishFull(stop_began_at_);
 }
 
-void Gateway::CheckStopped(TimePoint now) {
+void Gateway::AdvanceStop(TimePoint now) {
   const TimePoint kill_at = stop_began_at_ + settings_.stop_grace;
   if (accepting_ && now >= stop_began_at_ + kAcceptAfterStop) {
     accepting_ = false;
-    callers_.StopAccepting();
+    caller_server_.StopAccepting();
   }
-  if (!handed_over_ && now >= kill_at - kLastWrites - kLastPushes) {
-    handed_over_ = true;
+  if (!batch_runs_ended_ && now >= kill_at - kLastWrites - kLastPushes) {
+    batch_runs_ended_ = true;
     runner_.EndAll();
-    shared_progress_at_ = TimePoint{};
-    ShareProgress(now, 1);
-    sharer_.ShareWhole(now);
+    progress_sent_at_ = TimePoint{};
+    SendProgress(now, 1);
+    publisher_.PublishFull(now);
   }
-  const bool idle = !accepting_ && callers_.open_exchanges() == 0 &&
-                    callers_.open_connections() == 0 &&
+  const bool idle = !accepting_ && caller_server_.open_exchanges() == 0 &&
+                    caller_server_.open_connections() == 0 &&
                     runner_.running() == 0 && committer_.idle();
   if (!idle) idle_since_ = now;
   if (now - idle_since_ < kLastPushes && now < kill_at - kLastWrites) return;
-  sharer_.ShareWhole(now);
+  publisher_.PublishFull(now);
   LogInfo("stopped", {{"online", online_.open()},
                       {"items", runner_.running()},
-                      {"connections", callers_.open_connections()}});
+                      {"connections", caller_server_.open_connections()}});
   io_.stop();
 }
 
@@ -251,11 +253,11 @@
 std::string Gateway::RenderMetrics() {
   metrics_.Set("knap_configuration_version",
                static_cast<double>(routes_.version));
-  metrics_.Set("knap_servers", static_cast<double>(board_.server_count()));
+  metrics_.Set("knap_servers", static_cast<double>(scheduler_.server_count()));
   metrics_.Set("knap_store_available", store_.available() ? 1 : 0);
   metrics_.Set("knap_store_calls", static_cast<double>(store_.calls()));
   metrics_.Set("knap_store_reader", follower_.IsReader() ? 1 : 0);
-  metrics_.Set("knap_cell_entries", static_cast<double>(entries_in_cell_));
+  metrics_.Set("knap_cell_entries", static_cast<double>(gateways_in_cell_));
   metrics_.Set("knap_online_open", static_cast<double>(online_.open()));
   metrics_.Set("knap_items_running", static_cast<double>(runner_.running()));
   metrics_.Set("knap_fleet_members",
@@ -263,7 +265,7 @@
   metrics_.Set("knap_fleet_shards",
                static_cast<double>(fleet_.layout().shards));
   metrics_.Set("knap_entries_heard",
-               static_cast<double>(peers_.WorkingEntries().size()));
+               static_cast<double>(peers_.ActivePeers().size()));
   return metrics_.Render();
 }
 
--- a/libs/gateway/src/gateway.h
+++ b/libs/gateway/src/gateway.h
@@ -14,7 +14,7 @@
 #include "batch/job_forwarder.h"
 #include "batch/job_ownership.h"
 #include "batch/job_writer.h"
-#include "batch/own_batches.h"
+#include "batch/native_batch_api.h"
 #include "batch/record_kinds.h"
 #include "batch/record_reader.h"
 #include "batch/result_committer.h"
@@ -25,14 +25,14 @@
 #include "observe/metrics.h"
 #include "observe/timeline.h"
 #include "online/online_calls.h"
-#include "operators/operators_pages.h"
+#include "operators/admin_server.h"
 #include "operators/policy_view.h"
 #include "pause_detector.h"
-#include "peers/entry_registration.h"
+#include "peers/gateway_registration.h"
 #include "peers/peer_link.h"
 #include "peers/progress_link.h"
 #include "peers/record_push.h"
-#include "peers/state_sharer.h"
+#include "peers/state_publisher.h"
 #include "peers/sync_tracker.h"
 #include "servers/server_connections.h"
 #include "servers/server_directory.h"
@@ -85,17 +85,17 @@
   bool AwaitsLayout(TimePoint now) const;
   std::vector<std::string> HolderAddresses(std::string_view job) const;
   // What other cells are told.
-  std::optional<PeerState> Summary(TimePoint now);
-  void OnSummary(const PeerState& state);
-  void ToCaller(http::ServerCommand&& command);
+  std::optional<PeerState> BuildSummary(TimePoint now);
+  void OnPeerSummary(const PeerState& state);
+  void SendToCaller(http::ServerCommand&& command);
   // False: the call was passed on to a gateway that holds the job.
-  bool HoldsOrForwards(const http::RequestEvent& request,
-                       const std::string& job, const CallerIdentity& caller);
+  bool HoldsJobOrForwards(const http::RequestEvent& request,
+                          const std::string& job, const CallerIdentity& caller);
   void OnJobCall(const http::RequestEvent& request);
   void OnPeerRequest(http::RequestEvent&& request);
   // Its number among the records of this entry.
-  uint64_t PushRecord(const OwnRecord& record);
-  void OnRecordsHeard();
+  uint64_t PushRecord(const StoreRecord& record);
+  void OnRecordsAcknowledged();
   void OnPeerState(const PeerState& state);
 
   void OnPeerStarted(const std::string& entry);
@@ -103,24 +103,24 @@
   void UpdateRateMembers();
   // Sorts the entries that are heard of into cells.
   void UpdateCells();
-  void Displace(BackendServerId server, const std::string& entry);
+  void PreemptBatchItem(BackendServerId server, const std::string& entry);
   void RunBatch(TimePoint now);
 
   // Whether every record that a caller may have seen elsewhere is known here.
-  bool Current();
+  bool HasAllRecords();
   // Whether what the entries that are heard have written is known here.
-  bool Complete();
+  bool HasLivePeerRecords();
   void RefreshRecords();
   // Notices that the process stood still.
-  void NoticePause();
-  void ArmTick();
+  void CheckForPause();
+  void ScheduleTick();
   void Tick();
   PeerState OwnState() const;
   // Tells the entry that would go on with each item how far it has come.
-  void ShareProgress(TimePoint now, uint64_t step);
+  void SendProgress(TimePoint now, uint64_t step);
   // The entry has read records of this one that it was not pushed.
-  void LearnFilled(const PeerState& state);
-  void CheckStopped(TimePoint now);
+  void ConfirmRecoveredRecords(const PeerState& state);
+  void AdvanceStop(TimePoint now);
   std::string RenderMetrics();
 
   boost::asio::io_context& io_;
@@ -128,57 +128,57 @@
   TimePoint started_at_;
   observe::Metrics metrics_;
   observe::Timeline timeline_;
-  serving::SlotScheduler board_;
-  serving::CrashTracker crashes_;
-  serving::JobTable book_;
+  serving::SlotScheduler scheduler_;
+  serving::CrashTracker crash_tracker_;
+  serving::JobTable jobs_;
   cluster::FleetView fleet_;
-  RecordKinds kinds_;
+  RecordKinds record_kinds_;
   serving::RouteTable routes_;
-  workspaces::Directory workspaces_;
-  workspaces::RateQuota rate_;
+  workspaces::WorkspaceDirectory workspaces_;
+  workspaces::RateQuota rate_quota_;
   StoreCalls store_;
   ServerDirectory servers_;
   PolicyView policies_;
-  uint64_t start_;  // of this process: later starts have higher ones
+  uint64_t start_id_;  // of this process: later starts have higher ones
   PeerLink peers_;
-  RecordPush push_;
-  StoreRelay relay_;
-  ProgressLink progress_;
-  StateSharer sharer_;
+  RecordPush record_push_;
+  StoreRelay store_relay_;
+  ProgressLink progress_link_;
+  StatePublisher publisher_;
   StoreFollower follower_;
-  SyncTracker sync_;
+  SyncTracker sync_tracker_;
   JobOwnership ownership_;
-  EntryRegistration registration_;
+  GatewayRegistration registration_;
   ServerConnections connections_;
   OnlineCalls online_;
   BatchRunner runner_;
   ResultCommitter committer_;
   JobWriter writer_;
-  BatchApi batch_;
-  OwnBatches own_batches_;
+  BatchApi batch_api_;
+  NativeBatchApi native_batch_api_;
   JobForwarder forwarder_;
-  RecordReader records_;
-  Intake intake_;
+  RecordReader record_reader_;
+  RequestAdmission admission_;
   RecordCollector collector_;
-  http::Server callers_;
-  OperatorsPages pages_;
+  http::Server caller_server_;
+  AdminServer admin_server_;
   RecordMirrors record_mirrors_;
-  boost::asio::steady_timer tick_;
+  boost::asio::steady_timer tick_timer_;
 
-  PauseDetector pauses_;
-  size_t entries_in_cell_ = 1;  // this one included
+  PauseDetector pause_detector_;
+  size_t gateways_in_cell_ = 1;  // this one included
   bool members_listed_ = false;
   bool is_new_member_ = false;
   bool awaits_layout_ = false;
   TimePoint members_changed_at_{};
   TimePoint layout_proposed_at_{};
   TimePoint summary_sent_at_{};
-  TimePoint shared_progress_at_{};
-  TimePoint refreshed_records_at_{};
+  TimePoint progress_sent_at_{};
+  TimePoint records_refreshed_at_{};
   TimePoint stop_began_at_ = kNever;
   bool accepting_ = true;
-  bool handed_over_ = false;  // stopping: runs ended, their progress told
-  TimePoint idle_since_{};    // stopping: since when nothing is left to do
+  bool batch_runs_ended_ = false;  // stopping: runs ended, their progress told
+  TimePoint idle_since_{};         // stopping: since when nothing is left to do
 };
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/gateway_fleet.cc
+++ b/libs/gateway/src/gateway_fleet.cc
@@ -77,8 +77,8 @@
   if (gateway == settings_.name) return;
   fleet_.RemoveMember(gateway);
   peers_.RemoveAddress(gateway);
-  sync_.Forget(gateway);
-  rate_.Leave(Hash64(gateway));
+  sync_tracker_.RemovePeer(gateway);
+  rate_quota_.RemovePeer(Hash64(gateway));
 }
 
 // A gateway that was never registered has no work that waits for it; it sees
@@ -97,21 +97,22 @@
   if (awaits_layout_) peers.clear();
   if (fleet_.divided() || awaits_layout_) {
     for (const std::string& dropped : peers_.KeepPeers(peers)) {
-      board_.RemovePeer(dropped);
-      crashes_.RemovePeer(dropped);
-      sync_.Forget(dropped);
+      scheduler_.RemovePeer(dropped);
+      crash_tracker_.RemovePeer(dropped);
+      sync_tracker_.RemovePeer(dropped);
     }
   }
   for (const auto& [gateway, member] : fleet_.members()) {
     if (gateway == settings_.name) continue;
     if (peers.contains(gateway)) {
-      sync_.Expect(gateway, MonotonicNow());
+      sync_tracker_.AddPeer(gateway, MonotonicNow());
       peers_.SetAddress(gateway, member.address);
     } else {
       others.push_back(member.address);
     }
   }
-  peers_.SetOtherCells(fleet_.divided() ? others : std::vector<std::string>());
+  peers_.SetRemoteGateways(fleet_.divided() ? others
+                                            : std::vector<std::string>());
 }
 
 void Gateway::RefreshFleet(TimePoint now) {
@@ -119,14 +120,14 @@
   const bool changed = fleet_.Refresh();
   const bool awaits_layout = AwaitsLayout(now);
   const bool is_large = fleet_.divided() || awaits_layout;
-  follower_.SetRestUntil(is_large && is_new_member_ ? started_at_ + kPeersHeard
-                                                    : TimePoint{});
+  follower_.SetWaitForReadersUntil(
+      is_large && is_new_member_ ? started_at_ + kPeersHeard : TimePoint{});
   if (!changed && awaits_layout == awaits_layout_) return ProposeLayout(now);
   if (changed) members_changed_at_ = now;
   awaits_layout_ = awaits_layout;
   UpdatePeers();
   UpdateCells();
-  if (!awaits_layout_) record_mirrors_.Follow(kinds_.Own());
+  if (!awaits_layout_) record_mirrors_.Follow(record_kinds_.OwnKinds());
   LogInfo("fleet", {{"members", fleet_.members().size()},
                     {"shards", fleet_.layout().shards},
                     {"peers", fleet_.Peers().size()},
@@ -140,7 +141,7 @@
 void Gateway::ProposeLayout(TimePoint now) {
   const cluster::FleetLayout layout =
       cluster::LayoutFor(fleet_.members().size());
-  if (fleet_.divided() || !layout.divided() || !book_.jobs().empty()) return;
+  if (fleet_.divided() || !layout.divided() || !jobs_.jobs().empty()) return;
   const Duration turn = kProposalStep * static_cast<int64_t>(fleet_.OwnRank());
   if (now < members_changed_at_ + kDirectorySettles + turn) return;
   if (now < layout_proposed_at_ + kProposalPause) return;
@@ -163,27 +164,27 @@
   return addresses;
 }
 
-bool Gateway::HoldsOrForwards(const http::RequestEvent& request,
-                              const std::string& job,
-                              const CallerIdentity& caller) {
-  const bool forwarded = RecordPush::IsOwnExchange(request.exchange);
+bool Gateway::HoldsJobOrForwards(const http::RequestEvent& request,
+                                 const std::string& job,
+                                 const CallerIdentity& caller) {
+  const bool forwarded = RecordPush::IsPeerExchange(request.exchange);
   // Until the directory and the layout are known nobody can say where the job
   // is.
   const bool knows_fleet = members_listed_ && !awaits_layout_;
   const bool holds = knows_fleet && (job.empty() || fleet_.HoldsJob(job));
-  if (holds || book_.Find(job)) return true;
+  if (holds || jobs_.Find(job)) return true;
   if (forwarded) {
-    push_.Execute(http::RespondCommand{.exchange = request.exchange,
-                                       .status = JobForwarder::kMisdirected});
+    record_push_.Execute(http::RespondCommand{
+        .exchange = request.exchange, .status = JobForwarder::kMisdirected});
   } else if (knows_fleet) {
     forwarder_.Forward(request, job, caller);
   } else {
-    ToCaller(
+    SendToCaller(
         ToCommand(request.exchange, {.status = 503,
                                      .code = "fleet_unknown",
                                      .message = "this gateway has just started",
                                      .request_id = caller.request_id,
-                                     .truth = RunTruth::kNotRun,
+                                     .execution = RunTruth::kNotExecuted,
                                      .retry_after = kUnknownFleetRetry}));
   }
   return false;
@@ -193,35 +194,35 @@
   auto call = DecodeJobCall(request.body);
   if (!call) {
     LogWarning("job_call_invalid", {{"bytes", request.body.size()}});
-    return push_.Execute(
+    return record_push_.Execute(
         http::RespondCommand{.exchange = request.exchange, .status = 400});
   }
-  NoticePause();
+  CheckForPause();
   call->request.exchange = request.exchange;
   call->request.received_at = request.received_at;
-  intake_.OnForwarded(std::move(call->request), call->caller);
+  admission_.OnForwarded(std::move(call->request), call->caller);
 }
 
-std::optional<PeerState> Gateway::Summary(TimePoint now) {
+std::optional<PeerState> Gateway::BuildSummary(TimePoint now) {
   if (!fleet_.divided()) return std::nullopt;
   if (follower_.IsReader()) peers_.AdvertiseToOtherCells(OwnState());
-  const bool rates = workspaces_.has_rates();
+  const bool rates = workspaces_.has_rate_limits();
   PeerState state = OwnState();
-  state.crashes = crashes_.OwnCounts();
+  state.crashes = crash_tracker_.OwnCounts();
   if (!rates && state.crashes.empty()) return std::nullopt;
   if (!rates && now < summary_sent_at_ + kSummaryPause) return std::nullopt;
   summary_sent_at_ = now;
-  if (rates) state.rate = rate_.Report(now);
+  if (rates) state.rate = rate_quota_.FullReport(now);
   return state;
 }
 
-void Gateway::OnSummary(const PeerState& state) {
+void Gateway::OnPeerSummary(const PeerState& state) {
   follower_.OnPeerState(state, MonotonicNow());
-  crashes_.SetPeerCounts(state.entry, state.crashes);
-  if (!workspaces_.has_rates()) return;
-  rate_.OnReport(Hash64(state.entry), state.start, state.rate, false,
-                 MonotonicNow());
-  if (state.draining) rate_.Leave(Hash64(state.entry));
+  crash_tracker_.SetPeerCounts(state.gateway, state.crashes);
+  if (!workspaces_.has_rate_limits()) return;
+  rate_quota_.OnReport(Hash64(state.gateway), state.start, state.rate, false,
+                       MonotonicNow());
+  if (state.draining) rate_quota_.RemovePeer(Hash64(state.gateway));
 }
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/gateway_peers.cc
+++ b/libs/gateway/src/gateway_peers.cc
@@ -20,25 +20,26 @@
 
 void Gateway::OnPeerState(const PeerState& state) {
   const TimePoint now = MonotonicNow();
-  rate_.OnReport(Hash64(state.entry), state.start, state.rate, state.partial,
-                 now);
+  rate_quota_.OnReport(Hash64(state.gateway), state.start, state.rate,
+                       state.partial, now);
   if (state.partial) {
-    board_.UpdatePeerUsage(state.entry, state.usage, now);
+    scheduler_.UpdatePeerUsage(state.gateway, state.usage, now);
   } else {
-    board_.SetPeerUsage(state.entry, state.usage, now);
-    crashes_.SetPeerCounts(state.entry, state.crashes);
-    LearnFilled(state);
+    scheduler_.SetPeerUsage(state.gateway, state.usage, now);
+    crash_tracker_.SetPeerCounts(state.gateway, state.crashes);
+    ConfirmRecoveredRecords(state);
   }
-  sync_.OnCount(state.entry, state.start, state.records, now);
+  sync_tracker_.OnAdvertisedCount(state.gateway, state.start, state.records,
+                                  now);
   follower_.OnPeerState(state, now);
 }
 
 void Gateway::UpdateCells() {
   if (fleet_.divided()) {
     const serving::Cell cell = fleet_.own_cell();
-    entries_in_cell_ = peers_.Zones().size() + 1;
-    board_.SetCell(cell, entries_in_cell_);
-    sharer_.SetEntriesInCell(entries_in_cell_);
+    gateways_in_cell_ = peers_.Zones().size() + 1;
+    scheduler_.SetCell(cell, gateways_in_cell_);
+    publisher_.SetGatewaysInCell(gateways_in_cell_);
     peers_.SetCells(fleet_.cells());
     follower_.SetCell(cell, kReadersPerDividedCell, MonotonicNow());
     return UpdateRateMembers();
@@ -47,10 +48,10 @@
   zones[settings_.name] = settings_.availability_zone;
   const cluster::CellMap cells(zones);
   const serving::Cell cell = cells.CellOf(settings_.name);
-  entries_in_cell_ =
+  gateways_in_cell_ =
       cell.availability_zone.empty() ? zones.size() : cells.CountGateways(cell);
-  board_.SetCell(cell, entries_in_cell_);
-  sharer_.SetEntriesInCell(entries_in_cell_);
+  scheduler_.SetCell(cell, gateways_in_cell_);
+  publisher_.SetGatewaysInCell(gateways_in_cell_);
   UpdateRateMembers();
   peers_.SetCells(cells);
   follower_.SetCell(cells.StoreReaderCellOf(settings_.name), kReadersPerCell,
@@ -58,27 +59,28 @@
 }
 
 void Gateway::UpdateRateMembers() {
-  if (!members_listed_ || !workspaces_.has_rates()) return;
-  std::vector<workspaces::EntryHash> others;
+  if (!members_listed_ || !workspaces_.has_rate_limits()) return;
+  std::vector<workspaces::GatewayHash> others;
   for (const auto& [gateway, member] : fleet_.members()) {
     if (gateway != settings_.name) others.push_back(Hash64(gateway));
   }
-  rate_.SetMembers(others, MonotonicNow());
+  rate_quota_.SetMembers(others, MonotonicNow());
 }
 
-void Gateway::LearnFilled(const PeerState& state) {
+void Gateway::ConfirmRecoveredRecords(const PeerState& state) {
   const auto own = state.filled.find(settings_.name);
-  if (own == state.filled.end() || own->second.start != start_) return;
+  if (own == state.filled.end() || own->second.start != start_id_) return;
   const auto addresses = peers_.LiveAddresses();
-  const auto address = addresses.find(state.entry);
+  const auto address = addresses.find(state.gateway);
   if (address == addresses.end()) return;
-  push_.Confirm(address->second, own->second.count);
+  record_push_.OnAcknowledged(address->second, own->second.count);
 }
 
-void Gateway::Displace(BackendServerId server, const std::string& entry) {
-  if (entry.empty()) return runner_.Yield(server);
-  const serving::ServerRecord* record = board_.Record(server);
-  if (record) peers_.AskToYield(entry, record->instance);
+void Gateway::PreemptBatchItem(BackendServerId server,
+                               const std::string& entry) {
+  if (entry.empty()) return runner_.PreemptItem(server);
+  const serving::ServerRecord* record = scheduler_.Record(server);
+  if (record) peers_.RequestPreemption(entry, record->instance);
 }
 
 PeerState Gateway::OwnState() const {
@@ -90,25 +92,25 @@
       .store_available = store_.available(),
       .store_regained_millis_ago =
           was_lost ? static_cast<uint64_t>(ToMillis(since_regained)) + 1 : 0,
-      .records = push_.count(),
+      .records = record_push_.count(),
       .configuration = routes_.version,
-      .servers_revision = follower_.newest_server(),
-      .members_revision = follower_.newest_member()};
+      .servers_revision = follower_.newest_server_change(),
+      .members_revision = follower_.newest_member_change()};
 }
 
-void Gateway::ShareProgress(TimePoint now, uint64_t step) {
-  if (now - shared_progress_at_ < kProgressPause) return;
-  shared_progress_at_ = now;
+void Gateway::SendProgress(TimePoint now, uint64_t step) {
+  if (now - progress_sent_at_ < kProgressPause) return;
+  progress_sent_at_ = now;
   const std::map<std::string, std::string> addresses = peers_.LiveAddresses();
   if (addresses.empty()) return;
-  std::map<std::string, ProgressLink::Notes> by_address;
-  for (auto& note : book_.TakeProgressUpdates(step, kMostProgressBytes)) {
+  std::map<std::string, ProgressLink::Updates> by_address;
+  for (auto& note : jobs_.TakeProgressUpdates(step, kMostProgressBytes)) {
     const auto address = addresses.find(ownership_.SuccessorOf(note.job));
     if (address == addresses.end()) continue;
     by_address[address->second].push_back(std::move(note));
   }
   for (const auto& [address, notes] : by_address) {
-    progress_.Send(address, notes);
+    progress_link_.Send(address, notes);
   }
 }
 
--- a/libs/gateway/src/gateway_records.cc
+++ b/libs/gateway/src/gateway_records.cc
@@ -8,14 +8,15 @@
 // The gateway's records in the store: jobs, results and ends.
 namespace knapweedstile::gateway {
 
-uint64_t Gateway::PushRecord(const OwnRecord& record) {
-  push_.Push(record, peers_.LiveAddresses());
-  return push_.count();
+uint64_t Gateway::PushRecord(const StoreRecord& record) {
+  record_push_.Push(record, peers_.LiveAddresses());
+  return record_push_.count();
 }
 
-void Gateway::OnRecordsHeard() {
-  if (!writer_.awaits_others()) return;
-  writer_.OnHeard(push_.HeardBy(peers_.LiveAddresses()), MonotonicNow());
+void Gateway::OnRecordsAcknowledged() {
+  if (!writer_.awaits_acknowledgement()) return;
+  writer_.OnAcknowledged(record_push_.AcknowledgedBy(peers_.LiveAddresses()),
+                         MonotonicNow());
 }
 
 // Failure guarded against: an entry that crashes is back within a second and
@@ -23,8 +24,8 @@
 // entries' memory; it begins them anew and makes them late. Those others tell
 // it as soon as they hear of its new process.
 void Gateway::OnPeerStarted(const std::string& entry) {
-  book_.RepublishProgress(entry);
-  shared_progress_at_ = TimePoint{};
+  jobs_.RepublishProgress(entry);
+  progress_sent_at_ = TimePoint{};
 }
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/gateway_wiring.cc
+++ b/libs/gateway/src/gateway_wiring.cc
@@ -41,91 +41,100 @@
       settings_(settings),
       started_at_(MonotonicNow()),
       timeline_(settings.timeline_events),
-      board_({}, settings.availability_zone, seed),
+      scheduler_({}, settings.availability_zone, seed),
       fleet_(settings.name,
              {.address = fmt::format("{}:{}", settings.ip, settings.peer_port),
               .availability_zone = settings.availability_zone,
               .processor_share = settings.processor_share}),
-      kinds_(fleet_),
-      rate_(settings.rate_quota, Hash64(settings.name), seed + 2, started_at_),
+      record_kinds_(fleet_),
+      rate_quota_(settings.rate_quota, Hash64(settings.name), seed + 2,
+                  started_at_),
       store_(io, settings.store_address),
-      servers_(board_,
+      servers_(scheduler_,
                [this](BackendServerId former, const std::string& address) {
                  OnServerRestarted(former, address);
                }),
-      policies_(board_),
-      start_(static_cast<uint64_t>(WallClockNanos())),
-      peers_(io, settings.name, start_,
-             {.state = [this](const PeerState& state) { OnPeerState(state); },
-              .yield =
+      policies_(scheduler_),
+      start_id_(static_cast<uint64_t>(WallClockNanos())),
+      peers_(io, settings.name, start_id_,
+             {.state_received =
+                  [this](const PeerState& state) { OnPeerState(state); },
+              .preemption_requested =
                   [this](const std::string& instance) {
-                    runner_.Yield(board_.Find(instance));
+                    runner_.PreemptItem(scheduler_.Find(instance));
                   },
-              .started =
+              .peer_started =
                   [this](const std::string& entry) { OnPeerStarted(entry); },
-              .lost =
+              .peer_lost =
                   [this](const std::string& entry, bool draining) {
-                    board_.RemovePeer(entry);
-                    crashes_.RemovePeer(entry);
+                    scheduler_.RemovePeer(entry);
+                    crash_tracker_.RemovePeer(entry);
                     if (!draining) return;
-                    sync_.Forget(entry);
-                    rate_.Leave(Hash64(entry));
+                    sync_tracker_.RemovePeer(entry);
+                    rate_quota_.RemovePeer(Hash64(entry));
                   },
               .membership_changed = [this] { UpdateCells(); },
               .is_peer =
                   [this](const std::string& gateway, const std::string& zone) {
                     return fleet_.IsPeer(gateway, zone);
                   },
-              .summary = [this](const PeerState& state) { OnSummary(state); },
+              .summary_received =
+                  [this](const PeerState& state) { OnPeerSummary(state); },
               .summary_expired =
                   [this](const std::string& gateway) {
-                    crashes_.RemovePeer(gateway);
+                    crash_tracker_.RemovePeer(gateway);
                   }}),
-      push_(io, settings.name, start_,
-            {.received =
-                 [this](const std::string& entry, uint64_t start,
-                        uint64_t count, std::vector<OwnRecord>&& records) {
-                   sync_.OnReceived(entry, start, count - records.size(), count,
-                                    MonotonicNow());
-                   for (OwnRecord& record : records) {
-                     records_.Take({.kind = kOwnKind,
-                                    .name = std::move(record.name),
-                                    .value = std::move(record.value)});
-                   }
-                   RunBatch(MonotonicNow());
-                   return sync_.ReceivedOf(entry);
-                 },
-             .acknowledged = [this] { OnRecordsHeard(); }}),
-      relay_(io,
-             {.helper =
-                  [this] { return peers_.EntryWithStore(follower_.readers()); },
-              .perform =
-                  [this](platform::StoreCall&& call, TimePoint deadline,
-                         StoreRelay::Callback callback) {
-                    store_.Call(std::move(call), deadline, std::move(callback));
-                  },
-              .respond =
-                  [this](ExchangeId exchange, std::string body) {
-                    push_.Respond(exchange, std::move(body));
-                  }}),
-      progress_(io,
-                [this](ProgressLink::Notes&& notes) {
-                  for (serving::ProgressUpdate& note : notes) {
-                    book_.MergeProgress(std::move(note));
-                  }
-                }),
-      sharer_(io, peers_, board_, rate_,
-              {.every = [this] { return OwnState(); },
-               .whole =
-                   [this](PeerState& state, TimePoint now) {
-                     state.availability_zone = settings_.availability_zone;
-                     state.running_items = runner_.RunningItems();
-                     state.crashes = crashes_.OwnCounts();
-                     state.filled = sync_.FilledLately(now);
+      record_push_(
+          io, settings.name, start_id_,
+          {.received =
+               [this](const std::string& entry, uint64_t start, uint64_t count,
+                      std::vector<StoreRecord>&& records) {
+                 sync_tracker_.OnReceived(entry, start, count - records.size(),
+                                          count, MonotonicNow());
+                 for (StoreRecord& record : records) {
+                   record_reader_.ApplyRecord(
+                       {.kind = kRecordKind,
+                        .name = std::move(record.name),
+                        .value = std::move(record.value)});
+                 }
+                 RunBatch(MonotonicNow());
+                 return sync_tracker_.ReceivedFrom(entry);
+               },
+           .acknowledged = [this] { OnRecordsAcknowledged(); }}),
+      store_relay_(
+          io, {.peer_address =
+                   [this] {
+                     return peers_.AddressOfPeerWithStore(follower_.readers());
+                   },
+               .perform =
+                   [this](platform::StoreCall&& call, TimePoint deadline,
+                          StoreRelay::Callback callback) {
+                     store_.Call(std::move(call), deadline,
+                                 std::move(callback));
                    },
-               .summary = [this](TimePoint now) { return Summary(now); }}),
+               .respond =
+                   [this](ExchangeId exchange, std::string body) {
+                     record_push_.Respond(exchange, std::move(body));
+                   }}),
+      progress_link_(io,
+                     [this](ProgressLink::Updates&& notes) {
+                       for (serving::ProgressUpdate& note : notes) {
+                         jobs_.MergeProgress(std::move(note));
+                       }
+                     }),
+      publisher_(
+          io, peers_, scheduler_, rate_quota_,
+          {.base_state = [this] { return OwnState(); },
+           .add_full_state =
+               [this](PeerState& state, TimePoint now) {
+                 state.availability_zone = settings_.availability_zone;
+                 state.running_items = runner_.RunningItems();
+                 state.crashes = crash_tracker_.OwnCounts();
+                 state.filled = sync_tracker_.RecentlyRecovered(now);
+               },
+           .summary = [this](TimePoint now) { return BuildSummary(now); }}),
       follower_(io, settings_, store_, peers_,
-                {.configuration =
+                {.configuration_read =
                      [this](const platform::StoredObject& object) {
                        OnConfiguration(object);
                      },
@@ -133,13 +142,13 @@
                      [this](std::vector<platform::StoredObject>&& objects) {
                        servers_.OnListed(std::move(objects), MonotonicNow(),
                                          follower_.regained_at());
-                       policies_.Attach();
+                       policies_.UpdateServerPolicies();
                      },
                  .server_changed =
                      [this](platform::StoredObject&& object) {
                        servers_.OnChanged(std::move(object), MonotonicNow(),
                                           follower_.regained_at());
-                       policies_.Attach();
+                       policies_.UpdateServerPolicies();
                      },
                  .objects_listed =
                      [this](std::vector<platform::StoredObject>&& objects) {
@@ -159,115 +168,118 @@
                      [this](platform::StoredObject&& object) {
                        OnMemberChanged(object);
                      },
-                 .version = [this] { return routes_.version; },
+                 .configuration_version = [this] { return routes_.version; },
                  .cores =
                      [this](const std::string& gateway) {
                        return fleet_.ProcessorShareOf(gateway);
                      }}),
-      ownership_(settings.name, started_at_, peers_, book_),
+      ownership_(settings.name, started_at_, peers_, jobs_),
       registration_(io, store_, settings.name,
                     fleet_.members().at(settings.name)),
       connections_(io),
       online_(
-          connections_, board_, crashes_, metrics_, timeline_, seed + 1,
+          connections_, scheduler_, crash_tracker_, metrics_, timeline_,
+          seed + 1,
           {.to_caller =
                [this](http::ServerCommand&& command) {
-                 callers_.Execute(std::move(command));
+                 caller_server_.Execute(std::move(command));
                },
-           .displace =
+           .preempt =
                [this](BackendServerId server, const std::string& entry) {
-                 Displace(server, entry);
+                 PreemptBatchItem(server, entry);
                },
-           .not_run =
+           .not_executed =
                [this](const std::string& workspace, TimePoint admitted_at) {
-                 rate_.GiveBack(Hash64(workspace), admitted_at, MonotonicNow());
+                 rate_quota_.Refund(Hash64(workspace), admitted_at,
+                                    MonotonicNow());
                },
-           .usage_changed = [this] { sharer_.OnUsageChanged(); },
-           .outside =
+           .usage_changed = [this] { publisher_.OnUsageChanged(); },
+           .excluded_servers =
                [this](const serving::Route& route, const std::string& service,
                       const std::string& workspace) {
-                 return policies_.Outside(route, service, workspace);
+                 return policies_.ExcludedServers(route, service, workspace);
                }}),
       runner_(
-          connections_, board_, book_, routes_, metrics_, timeline_,
+          connections_, scheduler_, jobs_, routes_, metrics_, timeline_,
           {.owns =
                [this](const serving::BatchJob& job) {
                  return ownership_.Owns(job, MonotonicNow());
                },
-           .entries =
+           .gateway_count =
                [this] {
                  return fleet_.divided() ? fleet_.members().size()
-                                         : peers_.WorkingEntries().size() + 1;
+                                         : peers_.ActivePeers().size() + 1;
                },
-           .runs_elsewhere =
-               [this](uint64_t item) { return peers_.RunsElsewhere(item); },
-           .finished =
+           .runs_on_peer =
+               [this](uint64_t item) { return peers_.IsRunningOnPeer(item); },
+           .item_finished =
                [this](const std::string& job) {
-                 committer_.Note(job, MonotonicNow());
+                 committer_.OnItemFinished(job, MonotonicNow());
                },
-           .usage_changed = [this] { sharer_.OnUsageChanged(); },
-           .outside =
+           .usage_changed = [this] { publisher_.OnUsageChanged(); },
+           .excluded_servers =
                [this](const serving::Route& route, const std::string& service) {
-                 return policies_.Outside(route, service, "");
+                 return policies_.ExcludedServers(route, service, "");
                }}),
       committer_(
-          store_, kinds_, book_,
-          [this](const std::string& job) { batch_.OnProgress(job); },
-          [this](const OwnRecord& record) { PushRecord(record); }),
+          store_, record_kinds_, jobs_,
+          [this](const std::string& job) { batch_api_.OnProgress(job); },
+          [this](const StoreRecord& record) { PushRecord(record); }),
       writer_(
-          store_, kinds_, book_, metrics_,
-          {.book_changed =
+          store_, record_kinds_, jobs_, metrics_,
+          {.job_changed =
                [this](const std::string& job) {
-                 batch_.OnProgress(job);
+                 batch_api_.OnProgress(job);
                  RunBatch(MonotonicNow());
                },
-           .written =
-               [this](const OwnRecord& record) { return PushRecord(record); },
-           .entries = [this] { return peers_.LiveAddresses().size() + 1; },
-           .held_part =
+           .record_written =
+               [this](const StoreRecord& record) { return PushRecord(record); },
+           .gateway_count =
+               [this] { return peers_.LiveAddresses().size() + 1; },
+           .shard_share =
                [this] {
                  return static_cast<double>(fleet_.OwnShards().size()) /
                         fleet_.layout().shards;
                },
-           .complete = [this] { return Complete(); },
-           .current = [this] { return Current(); },
-           .refresh = [this] { RefreshRecords(); }}),
-      batch_(store_, kinds_, book_, writer_, settings.name,
-             {.to_caller =
-                  [this](http::ServerCommand&& command) {
-                    ToCaller(std::move(command));
-                  },
-              .current = [this] { return Current(); }}),
-      own_batches_(
-          routes_, book_, writer_, settings.name,
+           .has_live_peer_records = [this] { return HasLivePeerRecords(); },
+           .has_all_records = [this] { return HasAllRecords(); },
+           .refresh_records = [this] { RefreshRecords(); }}),
+      batch_api_(store_, record_kinds_, jobs_, writer_, settings.name,
+                 {.to_caller =
+                      [this](http::ServerCommand&& command) {
+                        SendToCaller(std::move(command));
+                      },
+                  .has_all_records = [this] { return HasAllRecords(); }}),
+      native_batch_api_(
+          routes_, jobs_, writer_, settings.name,
           {.to_caller =
                [this](http::ServerCommand&& command) {
-                 ToCaller(std::move(command));
+                 SendToCaller(std::move(command));
                },
-           .current = [this] { return Current(); },
-           .may_ask =
+           .has_all_records = [this] { return HasAllRecords(); },
+           .may_use_model =
                [this](std::string_view body, const CallerIdentity& caller) {
-                 return MayAskModel(body, caller, workspaces_);
+                 return IsModelAllowed(body, caller, workspaces_);
                }}),
       forwarder_(
           io, metrics_,
           {.to_caller =
                [this](http::ServerCommand&& command) {
-                 callers_.Execute(std::move(command));
+                 caller_server_.Execute(std::move(command));
                },
            .holders =
                [this](std::string_view job) { return HolderAddresses(job); }}),
-      records_(book_, {.progress =
-                           [this](const std::string& job) {
-                             batch_.OnProgress(job);
-                           }}),
-      intake_(
-          routes_, workspaces_, rate_, metrics_,
-          fmt::format("{}-{:x}", settings.name, start_),
+      record_reader_(jobs_, {.job_updated =
+                                 [this](const std::string& job) {
+                                   batch_api_.OnProgress(job);
+                                 }}),
+      admission_(
+          routes_, workspaces_, rate_quota_, metrics_,
+          fmt::format("{}-{:x}", settings.name, start_id_),
           settings.trust_configuration_for,
           {.to_caller =
                [this](http::ServerCommand&& command) {
-                 ToCaller(std::move(command));
+                 SendToCaller(std::move(command));
                },
            .online =
                [this](http::RequestEvent&& request, const serving::Route& route,
@@ -279,66 +291,71 @@
                       const CallerIdentity& caller) {
                  const std::string job =
                      JobKey(caller.workspace, caller.request_id);
-                 if (!HoldsOrForwards(request, job, caller)) return;
-                 batch_.Submit(std::move(request), route, caller);
+                 if (!HoldsJobOrForwards(request, job, caller)) return;
+                 batch_api_.Submit(std::move(request), route, caller);
                },
            .call_job =
                [this](http::RequestEvent&& request,
                       const users_platform::BatchCall& call,
                       const CallerIdentity& caller) {
                  const std::string job = JobKey(caller.workspace, call.job);
-                 if (!HoldsOrForwards(request, job, caller)) return;
-                 batch_.Call(std::move(request), call, caller);
+                 if (!HoldsJobOrForwards(request, job, caller)) return;
+                 batch_api_.Call(std::move(request), call, caller);
                },
            .own_batches =
                [this](http::RequestEvent&& request,
                       const CallerIdentity& caller) {
-                 const std::string job = OwnBatches::JobOf(request, caller);
-                 if (!HoldsOrForwards(request, job, caller)) return;
-                 own_batches_.OnRequest(std::move(request), caller);
+                 const std::string job =
+                     NativeBatchApi::JobIdOf(request, caller);
+                 if (!HoldsJobOrForwards(request, job, caller)) return;
+                 native_batch_api_.OnRequest(std::move(request), caller);
                },
            .configuration_age =
                [this] { return follower_.ConfigurationAge(MonotonicNow()); },
-           .look_again =
+           .reload_configuration =
                [this] { follower_.ReadConfiguration(MonotonicNow()); }}),
-      collector_(
-          store_, kinds_, book_,
-          {.keep = settings.result_retention * kRetentionFactor},
-          [this](const std::string& job) { return ownership_.Collects(job); }),
-      callers_(io, CallerServerSettings(),
-               [this](http::ServerEvent&& event) {
-                 return OnCallerEvent(std::move(event));
-               }),
-      pages_(io, settings_, store_, timeline_,
-             {.ready = [this] { return ready(); },
-              .metrics = [this] { return RenderMetrics(); },
-              .status =
-                  [this] {
-                    return RenderStatus(settings_, stop_began_at_ != kNever,
-                                        routes_.version, board_, policies_);
-                  },
-              .workspaces =
-                  [this] {
-                    return RenderWorkspaces(settings_.name, routes_.version,
-                                            workspaces_, rate_, MonotonicNow());
-                  }}),
+      collector_(store_, record_kinds_, jobs_,
+                 {.retention = settings.result_retention * kRetentionFactor},
+                 [this](const std::string& job) {
+                   return ownership_.CollectsRecordsOf(job);
+                 }),
+      caller_server_(io, CallerServerSettings(),
+                     [this](http::ServerEvent&& event) {
+                       return OnCallerEvent(std::move(event));
+                     }),
+      admin_server_(io, settings_, store_, timeline_,
+                    {.ready = [this] { return ready(); },
+                     .metrics = [this] { return RenderMetrics(); },
+                     .status =
+                         [this] {
+                           return RenderStatus(
+                               settings_, stop_began_at_ != kNever,
+                               routes_.version, scheduler_, policies_);
+                         },
+                     .workspaces =
+                         [this] {
+                           return RenderWorkspaces(settings_.name,
+                                                   routes_.version, workspaces_,
+                                                   rate_quota_, MonotonicNow());
+                         }}),
       record_mirrors_(
           io, store_, settings.store_history,
           {.listed =
                [this](std::vector<platform::StoredObject>&& objects) {
-                 for (const auto& object : objects) records_.Take(object);
+                 for (const auto& object : objects)
+                   record_reader_.ApplyRecord(object);
                  RunBatch(MonotonicNow());
                },
            .changed =
                [this](platform::StoredObject&& object) {
-                 records_.Take(object);
+                 record_reader_.ApplyRecord(object);
                },
-           .read =
+           .read_completed =
                [this](TimePoint began) {
-                 sync_.OnStoreRead(began, MonotonicNow());
+                 sync_tracker_.OnStoreRead(began, MonotonicNow());
                  RunBatch(MonotonicNow());
                }}),
-      tick_(io) {
+      tick_timer_(io) {
   DeclareMetrics(metrics_);
 }
 
--- a/libs/gateway/src/online/online_answers.cc
+++ b/libs/gateway/src/online/online_answers.cc
@@ -55,35 +55,36 @@
   if (!answer.ok() || answer.not_executed) return;
   if (answer.request_id != call.request_id || !answer.signed_answer) {
     connections_.Cancel(call.upstream);
-    return OnBroken(call, "foreign_answer");
+    return OnAttemptBroken(call, "foreign_answer");
   }
-  board_.MarkReachable(call.server);
-  StartPassing(call);
+  scheduler_.MarkReachable(call.server);
+  StartResponse(call);
 }
 
-bool OnlineCalls::StartPassing(OnlineCall& call) {
-  if (call.passing) return false;
-  call.passing = true;
-  ports_.to_caller(http::BeginStreamCommand{.exchange = call.caller,
-                                            .status = call.status,
-                                            .headers = AnswerHeaders(call)});
+bool OnlineCalls::StartResponse(OnlineCall& call) {
+  if (call.response_started) return false;
+  call.response_started = true;
+  callbacks_.to_caller(
+      http::BeginStreamCommand{.exchange = call.caller,
+                               .status = call.status,
+                               .headers = AnswerHeaders(call)});
   return true;
 }
 
 void OnlineCalls::OnBody(OnlineCall& call, http::BodyEvent&& event) {
-  if (!call.passing || call.status / 100 != 2) {
+  if (!call.response_started || call.status / 100 != 2) {
     call.body += event.data;
     return;
   }
   call.reader.Append(event.data);
-  if (PassEvents(call)) return;
+  if (ForwardEvents(call)) return;
   connections_.Cancel(call.upstream);
-  OnBroken(call, "event_out_of_order");
+  OnAttemptBroken(call, "event_out_of_order");
 }
 
 // Passes on the whole events that have arrived. False when one is missing or
 // comes twice: the caller must not take the stream for whole.
-bool OnlineCalls::PassEvents(OnlineCall& call) {
+bool OnlineCalls::ForwardEvents(OnlineCall& call) {
   std::string data;
   bool in_order = true;
   while (auto event = call.reader.Next()) {
@@ -97,29 +98,29 @@
   if (data.empty()) return in_order;
   if (call.first_byte_at == TimePoint{}) {
     call.first_byte_at = MonotonicNow();
-    metrics_.Observe(
-        "knap_first_event_seconds",
-        ToSeconds(call.first_byte_at - call.request.received_at),
-        {call.route.name, std::string(board_.SharingPolicyName(call.server))});
+    metrics_.Observe("knap_first_event_seconds",
+                     ToSeconds(call.first_byte_at - call.request.received_at),
+                     {call.route.name,
+                      std::string(scheduler_.SharingPolicyName(call.server))});
   }
-  ports_.to_caller(http::StreamChunkCommand{.exchange = call.caller,
-                                            .data = std::move(data)});
+  callbacks_.to_caller(http::StreamChunkCommand{.exchange = call.caller,
+                                                .data = std::move(data)});
   return in_order;
 }
 
 void OnlineCalls::OnEnd(OnlineCall& call, http::EndEvent&& event) {
   const TimePoint now = MonotonicNow();
   if (event.outcome == http::ClientOutcome::kNotSent) {
-    board_.MarkUnreachable(call.server, now);
+    scheduler_.MarkUnreachable(call.server, now);
     LogWarning("server_unreachable", {{"request", call.request_id},
                                       {"server", call.address},
                                       {"reason", event.message}});
-    return RetryNotRun(call);
+    return RetryNotExecuted(call);
   }
   if (event.outcome != http::ClientOutcome::kComplete) {
-    return OnBroken(call, NameOf(event.outcome));
+    return OnAttemptBroken(call, NameOf(event.outcome));
   }
-  if (!call.passing || call.status == 0) {
+  if (!call.response_started || call.status == 0) {
     call.status = event.status;
     call.head = std::move(event.headers);
     if (call.body.empty()) call.body = std::move(event.body);
@@ -131,38 +132,38 @@
   const ServerAnswer answer = DecodeAnswer(call.status, call.head);
   if (answer.not_executed) {
     if (answer.wrong_instance) {
-      board_.MarkUnreachable(call.server, MonotonicNow());
+      scheduler_.MarkUnreachable(call.server, MonotonicNow());
     } else {
-      board_.MarkFull(call.server, MonotonicNow());
+      scheduler_.MarkFull(call.server, MonotonicNow());
     }
-    return RetryNotRun(call);
+    return RetryNotExecuted(call);
   }
-  if (call.passing && answer.ok()) {
-    if (call.reader.HasPartial()) return OnBroken(call, "partial_event");
-    board_.ObserveDuration(call.server, MonotonicNow() - call.sent_at);
-    ports_.to_caller(
+  if (call.response_started && answer.ok()) {
+    if (call.reader.HasPartial()) return OnAttemptBroken(call, "partial_event");
+    scheduler_.ObserveDuration(call.server, MonotonicNow() - call.sent_at);
+    callbacks_.to_caller(
         http::StreamChunkCommand{.exchange = call.caller, .last = true});
     return Finish(call, call.status, "answered");
   }
   if (answer.request_id != call.request_id || !answer.signed_answer) {
-    return OnBroken(call, "foreign_answer");
+    return OnAttemptBroken(call, "foreign_answer");
   }
   const bool failed = call.status >= kServerError;
-  if (failed && (call.passing || MayRunElsewhere(call))) {
-    return OnBroken(call, "server_error");
+  if (failed && (call.response_started || CanRetryElsewhere(call))) {
+    return OnAttemptBroken(call, "server_error");
   }
   if (!failed) {
-    board_.MarkReachable(call.server);
-    board_.ObserveDuration(call.server, MonotonicNow() - call.sent_at);
+    scheduler_.MarkReachable(call.server);
+    scheduler_.ObserveDuration(call.server, MonotonicNow() - call.sent_at);
   }
-  ports_.to_caller(http::RespondCommand{.exchange = call.caller,
-                                        .status = call.status,
-                                        .headers = AnswerHeaders(call),
-                                        .body = std::move(call.body)});
+  callbacks_.to_caller(http::RespondCommand{.exchange = call.caller,
+                                            .status = call.status,
+                                            .headers = AnswerHeaders(call),
+                                            .body = std::move(call.body)});
   Finish(call, call.status, "answered");
 }
 
-bool OnlineCalls::MayRunElsewhere(const OnlineCall& call) const {
+bool OnlineCalls::CanRetryElsewhere(const OnlineCall& call) const {
   const bool repeatable =
       call.route.IsRetryable() ||
       (call.route.kind == RouteKind::kStream && call.route.resumable);
@@ -171,21 +172,22 @@
 }
 
 // The attempt may have run and gave no whole answer.
-void OnlineCalls::OnBroken(OnlineCall& call, std::string_view reason) {
-  const bool again = MayRunElsewhere(call);
+void OnlineCalls::OnAttemptBroken(OnlineCall& call, std::string_view reason) {
+  const bool again = CanRetryElsewhere(call);
   LogWarning("attempt_broken",
              {{"request", call.request_id},
               {"server", call.address},
               {"reason", reason},
               {"age_ms", ToMillis(MonotonicNow() - call.sent_at)},
-              {"passing", call.passing},
+              {"passing", call.response_started},
               {"again", again}});
   // Only an end without an answer may be a crash.
-  if (reason == NameOf(http::ClientOutcome::kLost) || reason == kRestarted) {
+  if (reason == NameOf(http::ClientOutcome::kLost) ||
+      reason == kServerRestarted) {
     crashes_.OnAttemptBroken(call.fingerprint, MonotonicNow());
   }
   call.excluded.push_back(call.server);
-  LeaveServer(call);
+  EndAttempt(call);
   ++call.runs;
   if (again && crashes_.IsQuarantined(call.fingerprint)) {
     return Fail(call, kBadGateway, "crashes_servers");
@@ -195,13 +197,13 @@
   Fail(call, timeout ? kGatewayTimeout : kBadGateway, reason);
 }
 
-void OnlineCalls::RetryNotRun(OnlineCall& call) {
+void OnlineCalls::RetryNotExecuted(OnlineCall& call) {
   call.excluded.push_back(call.server);
-  LeaveServer(call);
-  ++call.not_run;
-  if (call.not_run < kMaxNotRun) return Dispatch(call);
+  EndAttempt(call);
+  ++call.unexecuted_attempts;
+  if (call.unexecuted_attempts < kMaxNotRun) return Dispatch(call);
   if (call.runs > 0) return Fail(call, kBadGateway, "not_run_too_often");
-  Refuse(call, kRetryAfterBroken, "not_run_too_often");
+  Reject(call, kRetryAfterFailedAttempts, "not_run_too_often");
 }
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/online/online_call.h
+++ b/libs/gateway/src/online/online_call.h
@@ -36,16 +36,16 @@
   std::string address;  // of the last server that it was sent to
   TimePoint sent_at;
   serving::ServerUsage usage_at_send;  // of the server, before this request
-  bool displaced_batch = false;
+  bool preempted_batch = false;
   unsigned status = 0;  // of the attempt's head; zero: none yet
   http::HeaderList head;
   std::string body;  // collected unless it is passed on at once
 
   // Over all attempts.
-  uint32_t runs = 0;     // attempts that may have run
-  uint32_t not_run = 0;  // attempts that certainly did not
+  uint32_t runs = 0;                 // attempts that may have run
+  uint32_t unexecuted_attempts = 0;  // attempts that certainly did not
   std::vector<BackendServerId> excluded;
-  bool passing = false;  // the caller has got the head of its answer
+  bool response_started = false;  // the caller has got the head of its answer
   TimePoint first_byte_at{};
   serving::EventStreamReader reader;
   std::optional<uint64_t> last_event;  // passed on to the caller
--- a/libs/gateway/src/online/online_calls.cc
+++ b/libs/gateway/src/online/online_calls.cc
@@ -49,14 +49,14 @@
                          serving::SlotScheduler& board,
                          serving::CrashTracker& crashes,
                          observe::Metrics& metrics, observe::Timeline& timeline,
-                         uint64_t seed, Ports ports)
-    : board_(board),
+                         uint64_t seed, Callbacks ports)
+    : scheduler_(board),
       crashes_(crashes),
       metrics_(metrics),
       timeline_(timeline),
       rng_(seed),
-      return_time_(seed + 1),
-      ports_(std::move(ports)),
+      retry_delay_(seed + 1),
+      callbacks_(std::move(ports)),
       connections_(connections),
       sink_([this](http::ClientEvent&& event) {
         OnUpstream(std::move(event));
@@ -84,9 +84,10 @@
       HashCombine(HashCombine(Hash64(caller.host), Hash64(request.target)),
                   Hash64(request.body));
   call.request = std::move(request);
-  call.excluded = ports_.outside(call.route, call.service, caller.workspace);
+  call.excluded =
+      callbacks_.excluded_servers(call.route, call.service, caller.workspace);
   if (crashes_.IsQuarantined(call.fingerprint)) {
-    return Refuse(call, kQuarantineRetry, "crashes_servers");
+    return Reject(call, kQuarantineRetry, "crashes_servers");
   }
   Dispatch(call);
 }
@@ -95,36 +96,36 @@
   const TimePoint now = MonotonicNow();
   if (now >= call.deadline) {
     if (call.runs > 0) return Fail(call, kGatewayTimeout, "deadline");
-    return Refuse(call, kRetryAfterBroken, "deadline");
+    return Reject(call, kRetryAfterFailedAttempts, "deadline");
   }
-  const auto placement = board_.PlaceOnline(call.service, QueueObjective(call),
-                                            call.excluded, now);
+  const auto placement = scheduler_.PlaceOnline(
+      call.service, QueueObjective(call), call.excluded, now);
   // A stream that goes on elsewhere has been begun: it is never refused for a
   // queue.
-  const bool must_go_on = call.passing && placement.server;
+  const bool must_go_on = call.response_started && placement.server;
   if (placement.outcome != serving::PlacementOutcome::kPlaced && !must_go_on) {
     if (call.runs > 0) return Fail(call, kBadGateway, "no_server_to_repeat");
     const bool saturated =
         placement.outcome == serving::PlacementOutcome::kSaturated;
     const Duration after =
-        saturated ? return_time_.DelayFor(Remaining(call.deadline, now),
+        saturated ? retry_delay_.DelayFor(Remaining(call.deadline, now),
                                           placement.retry_after)
                   : placement.retry_after;
-    return Refuse(call, after, NameOf(placement.outcome));
+    return Reject(call, after, NameOf(placement.outcome));
   }
-  call.displaced_batch = placement.preempts_batch;
+  call.preempted_batch = placement.preempts_batch;
   SendTo(call, placement.server);
   if (placement.preempts_batch) {
-    ports_.displace(placement.server, placement.preempted_peer);
+    callbacks_.preempt(placement.server, placement.preempted_peer);
   }
 }
 
 void OnlineCalls::SendTo(OnlineCall& call, BackendServerId server) {
   const TimePoint now = MonotonicNow();
-  const serving::ServerRecord& record = *board_.Record(server);
+  const serving::ServerRecord& record = *scheduler_.Record(server);
   call.server = server;
   call.address = record.address;
-  call.usage_at_send = board_.UsageOf(server);
+  call.usage_at_send = scheduler_.UsageOf(server);
   call.sent_at = now;
   call.status = 0;
   call.body.clear();
@@ -135,7 +136,7 @@
                                          .request_id = call.request_id,
                                          .workspace = call.workspace};
   fields.budget = Remaining(call.deadline, now);
-  if (call.passing) fields.after_event = call.last_event;
+  if (call.response_started) fields.after_event = call.last_event;
   http::ClientRequest request;
   request.exchange = call.upstream;
   request.address = record.address;
@@ -152,42 +153,45 @@
     request.deadline = std::min(request.deadline, now + patience);
   }
   request.stream_body = call.route.kind == RouteKind::kStream;
-  board_.OnRequestStarted(server, TrafficClass::kOnline);
-  ports_.usage_changed();
+  scheduler_.OnRequestStarted(server, TrafficClass::kOnline);
+  callbacks_.usage_changed();
   connections_.Send(std::move(request));
 }
 
-void OnlineCalls::LeaveServer(OnlineCall& call) {
+void OnlineCalls::EndAttempt(OnlineCall& call) {
   if (!call.server) return;
   upstreams_.erase(call.upstream);
-  board_.OnRequestEnded(call.server, TrafficClass::kOnline);
+  scheduler_.OnRequestEnded(call.server, TrafficClass::kOnline);
   call.server = BackendServerId();
-  ports_.usage_changed();
+  callbacks_.usage_changed();
 }
 
 // Only for requests no attempt of which may have run.
-void OnlineCalls::Refuse(OnlineCall& call, Duration retry_after,
+void OnlineCalls::Reject(OnlineCall& call, Duration retry_after,
                          std::string_view cause) {
-  if (!call.workspace.empty()) ports_.not_run(call.workspace, call.admitted_at);
-  ports_.to_caller(ToCommand(call.caller, {.status = kUnavailable,
-                                           .code = cause,
-                                           .message = "it was not run",
-                                           .request_id = call.request_id,
-                                           .truth = RunTruth::kNotRun,
-                                           .retry_after = retry_after}));
+  if (!call.workspace.empty())
+    callbacks_.not_executed(call.workspace, call.admitted_at);
+  callbacks_.to_caller(
+      ToCommand(call.caller, {.status = kUnavailable,
+                              .code = cause,
+                              .message = "it was not run",
+                              .request_id = call.request_id,
+                              .execution = RunTruth::kNotExecuted,
+                              .retry_after = retry_after}));
   Finish(call, kUnavailable, cause);
 }
 
 void OnlineCalls::Fail(OnlineCall& call, unsigned status,
                        std::string_view cause) {
-  if (call.passing) {
-    ports_.to_caller(http::AbortCommand{call.caller});
+  if (call.response_started) {
+    callbacks_.to_caller(http::AbortCommand{call.caller});
   } else {
-    ports_.to_caller(ToCommand(call.caller, {.status = status,
-                                             .code = cause,
-                                             .message = "it may have run",
-                                             .request_id = call.request_id,
-                                             .truth = RunTruth::kUnknown}));
+    callbacks_.to_caller(
+        ToCommand(call.caller, {.status = status,
+                                .code = cause,
+                                .message = "it may have run",
+                                .request_id = call.request_id,
+                                .execution = RunTruth::kUnknown}));
   }
   Finish(call, status, cause);
 }
@@ -199,7 +203,7 @@
   if (answered) crashes_.OnAnswered(call.fingerprint);
   metrics_.Add("knap_requests_total", {call.route.name, std::string(outcome)});
   metrics_.Observe("knap_request_seconds", ToSeconds(age), {call.route.name});
-  const auto slots = board_.CountSlots(call.service, MonotonicNow());
+  const auto slots = scheduler_.CountSlots(call.service, MonotonicNow());
   const bool begun = call.first_byte_at != TimePoint{};
   const Duration first_byte =
       begun ? call.first_byte_at - call.request.received_at : age;
@@ -215,10 +219,10 @@
        {"free", slots.free},
        {"online", call.usage_at_send.online},
        {"batch", call.usage_at_send.batch},
-       {"displaced", call.displaced_batch},
+       {"displaced", call.preempted_batch},
        {"first_ms", ToMillis(first_byte)},
        {"runs", call.runs},
-       {"not_run", call.not_run}});
+       {"not_run", call.unexecuted_attempts}});
   timeline_.Record(
       {.wall_clock_nanos = WallClockNanos(),
        .duration_nanos = ToNanos(age),
@@ -228,7 +232,7 @@
                 {"outcome", std::string(outcome)},
                 {"server", call.address},
                 {"first_ms", std::to_string(ToMillis(first_byte))}}});
-  LeaveServer(call);
+  EndAttempt(call);
   calls_.erase(call.caller);
 }
 
@@ -240,11 +244,11 @@
   for (const ExchangeId caller : cut) {
     OnlineCall& call = calls_.at(caller);
     connections_.Cancel(call.upstream);
-    OnBroken(call, kRestarted);
+    OnAttemptBroken(call, kServerRestarted);
   }
 }
 
-void OnlineCalls::OnCallerGone(ExchangeId caller) {
+void OnlineCalls::OnCallerDisconnected(ExchangeId caller) {
   const auto found = calls_.find(caller);
   if (found == calls_.end()) return;
   connections_.Cancel(found->second.upstream);
--- a/libs/gateway/src/online/online_calls.h
+++ b/libs/gateway/src/online/online_calls.h
@@ -33,32 +33,32 @@
 // which promise nothing.
 class OnlineCalls {
  public:
-  struct Ports {
+  struct Callbacks {
     std::function<void(http::ServerCommand&&)> to_caller;
     // Frees the slot of one batch item on a backend server, of this entry when
     // `entry` is empty.
     std::function<void(BackendServerId server, const std::string& entry)>
-        displace;
+        preempt;
     // A request that was admitted at that time has not run and never will.
     std::function<void(const std::string& workspace, TimePoint admitted_at)>
-        not_run;
+        not_executed;
     // Counts on the slot board have changed.
     std::function<void()> usage_changed;
     // Servers that the operators' policies keep the route's requests from.
     std::function<std::vector<BackendServerId>(const serving::Route& route,
                                                const std::string& service,
                                                const std::string& workspace)>
-        outside;
+        excluded_servers;
   };
 
   OnlineCalls(ServerConnections& connections, serving::SlotScheduler& board,
               serving::CrashTracker& crashes, observe::Metrics& metrics,
-              observe::Timeline& timeline, uint64_t seed, Ports ports);
+              observe::Timeline& timeline, uint64_t seed, Callbacks ports);
 
   // `less_urgent`: than other requests of its service.
   void Begin(http::RequestEvent&& request, const serving::Route& route,
              const CallerIdentity& caller, bool less_urgent);
-  void OnCallerGone(ExchangeId caller);
+  void OnCallerDisconnected(ExchangeId caller);
   // The server's process is gone with all that it had taken, which may have
   // run.
   void OnServerRestarted(BackendServerId former);
@@ -70,31 +70,31 @@
   void OnBody(OnlineCall& call, http::BodyEvent&& event);
   void OnEnd(OnlineCall& call, http::EndEvent&& event);
   void OnComplete(OnlineCall& call);
-  void OnBroken(OnlineCall& call, std::string_view reason);
+  void OnAttemptBroken(OnlineCall& call, std::string_view reason);
 
   void Dispatch(OnlineCall& call);
   void SendTo(OnlineCall& call, BackendServerId server);
   // Ends the attempt on the board; the call has no server afterwards.
-  void LeaveServer(OnlineCall& call);
+  void EndAttempt(OnlineCall& call);
   // After an attempt that certainly did not run.
-  void RetryNotRun(OnlineCall& call);
-  bool MayRunElsewhere(const OnlineCall& call) const;
-  bool StartPassing(OnlineCall& call);
-  bool PassEvents(OnlineCall& call);
+  void RetryNotExecuted(OnlineCall& call);
+  bool CanRetryElsewhere(const OnlineCall& call) const;
+  bool StartResponse(OnlineCall& call);
+  bool ForwardEvents(OnlineCall& call);
 
-  void Refuse(OnlineCall& call, Duration retry_after, std::string_view cause);
+  void Reject(OnlineCall& call, Duration retry_after, std::string_view cause);
   void Fail(OnlineCall& call, unsigned status, std::string_view cause);
   void Finish(OnlineCall& call, unsigned status, std::string_view outcome);
 
   OnlineCall* FindUpstream(ExchangeId upstream);
 
-  serving::SlotScheduler& board_;
+  serving::SlotScheduler& scheduler_;
   serving::CrashTracker& crashes_;
   observe::Metrics& metrics_;
   observe::Timeline& timeline_;
   Rng rng_;
-  serving::RetryAfterPolicy return_time_;
-  Ports ports_;
+  serving::RetryAfterPolicy retry_delay_;
+  Callbacks callbacks_;
   std::unordered_map<ExchangeId, OnlineCall> calls_;  // by caller
   std::unordered_map<ExchangeId, ExchangeId> upstreams_;
   ServerConnections& connections_;
--- a/libs/gateway/src/online/online_limits.h
+++ b/libs/gateway/src/online/online_limits.h
@@ -12,10 +12,10 @@
 inline constexpr unsigned kGatewayTimeout = 504;
 
 // Why an attempt is over when its server's process has been replaced.
-inline constexpr std::string_view kRestarted = "server_restarted";
+inline constexpr std::string_view kServerRestarted = "server_restarted";
 
 // After a few servers that did not run a request: others may have room at once.
-inline constexpr std::chrono::milliseconds kRetryAfterBroken{100};
+inline constexpr std::chrono::milliseconds kRetryAfterFailedAttempts{100};
 
 }  // namespace knapweedstile::gateway
 
--- a/libs/gateway/src/operators/operators_pages.cc
+++ b/libs/gateway/src/operators/admin_server.cc
@@ -1,4 +1,4 @@
-#include "operators/operators_pages.h"
+#include "operators/admin_server.h"
 
 #include <boost/leaf/handle_errors.hpp>
 #include <charconv>
@@ -33,36 +33,35 @@
 
 }  // namespace
 
-OperatorsPages::OperatorsPages(boost::asio::io_context& io,
-                               const GatewaySettings& settings,
-                               StoreCalls& store,
-                               const observe::Timeline& timeline, Ports ports)
+AdminServer::AdminServer(boost::asio::io_context& io,
+                         const GatewaySettings& settings, StoreCalls& store,
+                         const observe::Timeline& timeline, Callbacks ports)
     : settings_(settings),
       timeline_(timeline),
-      ports_(std::move(ports)),
-      operators_server_(io, {},
-                        [this](http::ServerEvent&& event) {
-                          return OnOperatorsEvent(std::move(event));
-                        }),
+      callbacks_(std::move(ports)),
+      http_server_(io, {},
+                   [this](http::ServerEvent&& event) {
+                     return OnAdminEvent(std::move(event));
+                   }),
       metrics_server_(io, {},
                       [this](http::ServerEvent&& event) {
                         const auto* request =
                             std::get_if<http::RequestEvent>(&event);
                         if (request)
-                          metrics_server_.Execute(MetricsPage(*request));
+                          metrics_server_.Execute(BuildMetricsPage(*request));
                         return true;
                       }),
-      operators_(store, [this](http::ServerCommand&& command) {
-        operators_server_.Execute(std::move(command));
+      objects_api_(store, [this](http::ServerCommand&& command) {
+        http_server_.Execute(std::move(command));
       }) {}
 
-Result<bool> OperatorsPages::Listen() {
-  BOOST_LEAF_CHECK(operators_server_.Listen(settings_.readiness_address));
+Result<bool> AdminServer::Listen() {
+  BOOST_LEAF_CHECK(http_server_.Listen(settings_.readiness_address));
   ListenForMetrics();
   return true;
 }
 
-void OperatorsPages::ListenForMetrics() {
+void AdminServer::ListenForMetrics() {
   if (settings_.metrics_address.empty()) return;
   boost::leaf::try_handle_all(
       [&]() -> boost::leaf::result<void> {
@@ -77,18 +76,18 @@
       [] {});
 }
 
-bool OperatorsPages::OnOperatorsEvent(http::ServerEvent&& event) {
+bool AdminServer::OnAdminEvent(http::ServerEvent&& event) {
   const auto* request = std::get_if<http::RequestEvent>(&event);
   if (!request) return true;
-  if (OperatorsApi::IsObjectTarget(request->target)) {
-    operators_.OnRequest(*request);
+  if (ObjectsApi::IsObjectTarget(request->target)) {
+    objects_api_.OnRequest(*request);
     return true;
   }
-  operators_server_.Execute(Page(*request));
+  http_server_.Execute(BuildPage(*request));
   return true;
 }
 
-http::RespondCommand OperatorsPages::Page(const http::RequestEvent& request) {
+http::RespondCommand AdminServer::BuildPage(const http::RequestEvent& request) {
   http::RespondCommand answer{.exchange = request.exchange, .status = 200};
   const std::string_view path = PathOf(request);
   const auto json = [&](std::string body) {
@@ -97,15 +96,15 @@
   };
   if (users_platform::IsReadinessProbe(request.method, path) ||
       path == "/readyz") {
-    answer.status = ports_.ready() ? 200 : 503;
+    answer.status = callbacks_.ready() ? 200 : 503;
   } else if (path == "/healthz") {
     answer.body = "ok";
   } else if (path == kMetricsPath) {
-    return MetricsPage(request);
+    return BuildMetricsPage(request);
   } else if (path == "/status") {
-    json(ports_.status());
+    json(callbacks_.status());
   } else if (path == "/workspaces") {
-    json(ports_.workspaces());
+    json(callbacks_.workspaces());
   } else if (path == "/timeline") {
     json(RenderTimeline(settings_.name, timeline_, AfterOf(request.target)));
   } else {
@@ -114,7 +113,7 @@
   return answer;
 }
 
-http::RespondCommand OperatorsPages::MetricsPage(
+http::RespondCommand AdminServer::BuildMetricsPage(
     const http::RequestEvent& request) {
   http::RespondCommand answer{.exchange = request.exchange, .status = 200};
   if (PathOf(request) != kMetricsPath) {
@@ -122,7 +121,7 @@
     return answer;
   }
   answer.headers.Add("Content-Type", "text/plain; version=0.0.4");
-  answer.body = ports_.metrics();
+  answer.body = callbacks_.metrics();
   return answer;
 }
 
--- a/libs/gateway/src/operators/operators_pages.h
+++ b/libs/gateway/src/operators/admin_server.h
@@ -1,5 +1,5 @@
-#ifndef KNAPWEEDSTILE_GATEWAY_OPERATORS_PAGES_H_
-#define KNAPWEEDSTILE_GATEWAY_OPERATORS_PAGES_H_
+#ifndef KNAPWEEDSTILE_GATEWAY_ADMIN_SERVER_H_
+#define KNAPWEEDSTILE_GATEWAY_ADMIN_SERVER_H_
 
 #include <boost/asio/io_context.hpp>
 #include <functional>
@@ -8,7 +8,7 @@
 
 #include "base/error.h"
 #include "http/server.h"
-#include "operators/operators_api.h"
+#include "operators/objects_api.h"
 
 namespace knapweedstile::observe {
 class Timeline;
@@ -20,9 +20,9 @@
 
 // What the gateway answers on the operators' address, and its metrics alone at
 // an address that stays.
-class OperatorsPages {
+class AdminServer {
  public:
-  struct Ports {
+  struct Callbacks {
     // Whether this gateway takes callers.
     std::function<bool()> ready;
     // Prometheus text; and JSON texts.
@@ -31,9 +31,9 @@
     std::function<std::string()> workspaces;
   };
 
-  OperatorsPages(boost::asio::io_context& io, const GatewaySettings& settings,
-                 StoreCalls& store, const observe::Timeline& timeline,
-                 Ports ports);
+  AdminServer(boost::asio::io_context& io, const GatewaySettings& settings,
+              StoreCalls& store, const observe::Timeline& timeline,
+              Callbacks ports);
 
   Result<bool> Listen();
 
@@ -41,18 +41,18 @@
   // Callers are served without it as well, so it does not keep the gateway from
   // starting; the operators' address has the same page.
   void ListenForMetrics();
-  bool OnOperatorsEvent(http::ServerEvent&& event);
-  http::RespondCommand Page(const http::RequestEvent& request);
-  http::RespondCommand MetricsPage(const http::RequestEvent& request);
+  bool OnAdminEvent(http::ServerEvent&& event);
+  http::RespondCommand BuildPage(const http::RequestEvent& request);
+  http::RespondCommand BuildMetricsPage(const http::RequestEvent& request);
 
   const GatewaySettings& settings_;
   const observe::Timeline& timeline_;
-  Ports ports_;
-  http::Server operators_server_;
+  Callbacks callbacks_;
+  http::Server http_server_;
   http::Server metrics_server_;
-  OperatorsApi operators_;
+  ObjectsApi objects_api_;
 };
 
 }  // namespace knapweedstile::gateway
 
-#endif  // KNAPWEEDSTILE_GATEWAY_OPERATORS_PAGES_H_
+#endif  // KNAPWEEDSTILE_GATEWAY_ADMIN_SERVER_H_
--- a/libs/gateway/src/operators/object_names.h
+++ b/libs/gateway/src/operators/object_names.h
@@ -9,14 +9,15 @@
 // The operators' objects in the platform's store: all of one kind, so that one
 // watch follows them, named KIND.NAME. Their values are as operators write them
 // (docs/operators/knapctl.md).
-inline constexpr char kOperatorObjects[] = "knapweedstile-objects";
+inline constexpr char kOperatorObjectsKind[] = "knapweedstile-objects";
 
 struct ObjectName {
   std::string kind;
   std::string name;
 };
 
-inline std::string StoredName(std::string_view kind, std::string_view name) {
+inline std::string StoredObjectName(std::string_view kind,
+                                    std::string_view name) {
   return std::string(kind) + "." + std::string(name);
 }
 
--- a/libs/gateway/src/operators/operators_api.cc
+++ b/libs/gateway/src/operators/objects_api.cc
@@ -1,4 +1,4 @@
-#include "operators/operators_api.h"
+#include "operators/objects_api.h"
 
 #include <boost/json.hpp>
 #include <boost/url.hpp>
@@ -65,33 +65,32 @@
 
 }  // namespace
 
-struct OperatorsApi::ObjectCall {
+struct ObjectsApi::ObjectCall {
   ExchangeId caller;
   std::string kind;
   std::string name;
   uint64_t if_version = 0;
 
-  std::string stored() const { return StoredName(kind, name); }
+  std::string stored() const { return StoredObjectName(kind, name); }
 };
 
-OperatorsApi::OperatorsApi(StoreCalls& store, ToCaller to_caller)
-    : store_(store), to_caller_(std::move(to_caller)) {}
+ObjectsApi::ObjectsApi(StoreCalls& store, SendToCaller to_caller)
+    : store_(store), send_to_caller_(std::move(to_caller)) {}
 
-bool OperatorsApi::IsObjectTarget(std::string_view target) {
+bool ObjectsApi::IsObjectTarget(std::string_view target) {
   return target.starts_with(kPrefix);
 }
 
-void OperatorsApi::Respond(ExchangeId caller, unsigned status,
-                           std::string body) {
+void ObjectsApi::Respond(ExchangeId caller, unsigned status, std::string body) {
   http::HeaderList headers;
   headers.Add("Content-Type", "application/json");
-  to_caller_(http::RespondCommand{.exchange = caller,
-                                  .status = status,
-                                  .headers = std::move(headers),
-                                  .body = std::move(body)});
+  send_to_caller_(http::RespondCommand{.exchange = caller,
+                                       .status = status,
+                                       .headers = std::move(headers),
+                                       .body = std::move(body)});
 }
 
-void OperatorsApi::OnRequest(const http::RequestEvent& request) {
+void ObjectsApi::OnRequest(const http::RequestEvent& request) {
   const auto url = boost::urls::parse_origin_form(request.target);
   if (!url) return Respond(request.exchange, 400, ErrorBody("no such target"));
   std::vector<std::string> path;
@@ -114,9 +113,9 @@
   Respond(call.caller, 405, ErrorBody("no such method"));
 }
 
-void OperatorsApi::List(ExchangeId caller, const std::string& kind) {
+void ObjectsApi::List(ExchangeId caller, const std::string& kind) {
   store_.Call(
-      platform::ListRequest{.kind = kOperatorObjects},
+      platform::ListRequest{.kind = kOperatorObjectsKind},
       MonotonicNow() + kCallTimeout,
       [this, caller, kind](StoreAnswer&& answer) {
         if (answer.outcome != StoreOutcome::kOk) {
@@ -135,9 +134,10 @@
       });
 }
 
-void OperatorsApi::Read(const ObjectCall& call) {
-  store_.CallAnyWay(
-      platform::ReadRequest{.kind = kOperatorObjects, .name = call.stored()},
+void ObjectsApi::Read(const ObjectCall& call) {
+  store_.CallDirectOrRelayed(
+      platform::ReadRequest{.kind = kOperatorObjectsKind,
+                            .name = call.stored()},
       MonotonicNow() + kCallTimeout,
       [this, caller = call.caller](StoreAnswer&& answer) {
         if (answer.outcome != StoreOutcome::kOk || answer.objects.empty()) {
@@ -148,15 +148,15 @@
       });
 }
 
-void OperatorsApi::Write(const ObjectCall& call, const std::string& value) {
+void ObjectsApi::Write(const ObjectCall& call, const std::string& value) {
   if (const std::string refusal = Refusal(call.kind, call.name, value);
       !refusal.empty()) {
     LogWarning("object_write_refused",
                {{"object", call.stored()}, {"reason", refusal}});
     return Respond(call.caller, 422, ErrorBody(refusal));
   }
-  store_.CallAnyWay(
-      platform::WriteRequest{.kind = kOperatorObjects,
+  store_.CallDirectOrRelayed(
+      platform::WriteRequest{.kind = kOperatorObjectsKind,
                              .name = call.stored(),
                              .if_version = call.if_version,
                              .value = value},
@@ -170,9 +170,9 @@
       });
 }
 
-void OperatorsApi::Delete(const ObjectCall& call) {
+void ObjectsApi::Delete(const ObjectCall& call) {
   store_.Call(
-      platform::DeleteRequest{.kind = kOperatorObjects,
+      platform::DeleteRequest{.kind = kOperatorObjectsKind,
                               .name = call.stored(),
                               .if_version = call.if_version},
       MonotonicNow() + kCallTimeout, [this, call](StoreAnswer&& answer) {
--- a/libs/gateway/src/operators/operators_api.h
+++ b/libs/gateway/src/operators/objects_api.h
@@ -1,5 +1,5 @@
-#ifndef KNAPWEEDSTILE_GATEWAY_OPERATORS_API_H_
-#define KNAPWEEDSTILE_GATEWAY_OPERATORS_API_H_
+#ifndef KNAPWEEDSTILE_GATEWAY_OBJECTS_API_H_
+#define KNAPWEEDSTILE_GATEWAY_OBJECTS_API_H_
 
 #include <functional>
 #include <string>
@@ -21,11 +21,11 @@
 //
 // A change is answered when the store has taken it. 409 bears the version that
 // is there; 422 names the fields that are wrong; 503: not done; 504: unknown.
-class OperatorsApi {
+class ObjectsApi {
  public:
-  using ToCaller = std::function<void(http::ServerCommand&&)>;
+  using SendToCaller = std::function<void(http::ServerCommand&&)>;
 
-  OperatorsApi(StoreCalls& store, ToCaller to_caller);
+  ObjectsApi(StoreCalls& store, SendToCaller to_caller);
 
   static bool IsObjectTarget(std::string_view target);
   void OnRequest(const http::RequestEvent& request);
@@ -40,9 +40,9 @@
   void Respond(ExchangeId caller, unsigned status, std::string body);
 
   StoreCalls& store_;
-  ToCaller to_caller_;
+  SendToCaller send_to_caller_;
 };
 
 }  // namespace knapweedstile::gateway
 
-#endif  // KNAPWEEDSTILE_GATEWAY_OPERATORS_API_H_
+#endif  // KNAPWEEDSTILE_GATEWAY_OBJECTS_API_H_
--- a/libs/gateway/src/operators/policy_view.cc
+++ b/libs/gateway/src/operators/policy_view.cc
@@ -31,12 +31,12 @@
   for (const auto& [name, version] : gone) {
     Apply({.name = name, .version = version + 1, .deleted = true});
   }
-  Attach();
+  UpdateServerPolicies();
 }
 
 void PolicyView::OnChanged(platform::StoredObject&& object) {
   Apply(object);
-  Attach();
+  UpdateServerPolicies();
 }
 
 void PolicyView::Apply(const platform::StoredObject& object) {
@@ -76,14 +76,14 @@
   return labels;
 }
 
-void PolicyView::Attach() {
-  outside_.clear();
-  if (catalog_.policies().empty() && attached_.empty()) return;
+void PolicyView::UpdateServerPolicies() {
+  excluded_servers_.clear();
+  if (catalog_.policies().empty() && server_policies_.empty()) return;
   const auto policies = catalog_.AllPolicies();
   std::map<BackendServerId, std::string> attached;
   for (const BackendServerId id : board_.Servers()) {
     const serving::ServerRecord& record = *board_.Record(id);
-    const objects::Policy* policy = objects::PolicyOfEngine(
+    const objects::Policy* policy = objects::PolicyForEngine(
         policies, {.labels = LabelsOf(record), .model = record.service});
     board_.SetSharing(id,
                       policy ? std::optional(policy->sharing) : std::nullopt);
@@ -91,24 +91,26 @@
         policy ? fmt::format("{}@{}", policy->name, policy->version)
                : std::string();
     if (policy) attached[id] = now;
-    const auto before = attached_.find(id);
-    if ((before == attached_.end() ? "" : before->second) == now) continue;
+    const auto before = server_policies_.find(id);
+    if ((before == server_policies_.end() ? "" : before->second) == now)
+      continue;
     LogInfo("policy_attached",
             {{"instance", record.instance},
              {"policy", policy ? policy->name : "default"},
              {"version", policy ? policy->version : 0},
              {"sharing", policy ? NameOf(policy->sharing.kind) : "built_in"}});
   }
-  attached_ = std::move(attached);
+  server_policies_ = std::move(attached);
 }
 
-const std::vector<BackendServerId>& PolicyView::Outside(
+const std::vector<BackendServerId>& PolicyView::ExcludedServers(
     const serving::Route& route, const std::string& service,
     const std::string& workspace) {
-  const auto [cached, is_new] = outside_.try_emplace(
+  const auto [cached, is_new] = excluded_servers_.try_emplace(
       fmt::format("{} {} {}", route.name, service, workspace));
   if (is_new) {
-    cached->second = FindOutside(TrafficLabels(route, workspace), service);
+    cached->second =
+        FindExcludedServers(TrafficLabels(route, workspace), service);
   }
   return cached->second;
 }
@@ -125,10 +127,10 @@
   return labels;
 }
 
-std::vector<BackendServerId> PolicyView::FindOutside(
+std::vector<BackendServerId> PolicyView::FindExcludedServers(
     const objects::Labels& traffic, const std::string& service) const {
   const objects::Policy* policy =
-      objects::WinningPolicy(catalog_.AllPolicies(), traffic, service);
+      objects::PolicyForTraffic(catalog_.AllPolicies(), traffic, service);
   if (!policy) return {};
   std::vector<BackendServerId> outside;
   bool any_inside = false;
--- a/libs/gateway/src/operators/policy_view.h
+++ b/libs/gateway/src/operators/policy_view.h
@@ -34,30 +34,32 @@
   void OnListed(std::vector<platform::StoredObject>&& objects);
   void OnChanged(platform::StoredObject&& object);
   // Brings the board in line after servers or objects have changed.
-  void Attach();
+  void UpdateServerPolicies();
 
   // Queries.
   // The service's servers that the policy of this traffic does not select; none
   // while it selects none that is registered, so that a selector without any
   // match does not stop its traffic.
-  const std::vector<BackendServerId>& Outside(const serving::Route& route,
-                                              const std::string& service,
-                                              const std::string& workspace);
+  const std::vector<BackendServerId>& ExcludedServers(
+      const serving::Route& route, const std::string& service,
+      const std::string& workspace);
   const objects::Catalog& catalog() const noexcept { return catalog_; }
   objects::Labels LabelsOf(const serving::ServerRecord& record) const;
 
  private:
   void Apply(const platform::StoredObject& object);
-  std::vector<BackendServerId> FindOutside(const objects::Labels& traffic,
-                                           const std::string& service) const;
+  std::vector<BackendServerId> FindExcludedServers(
+      const objects::Labels& traffic, const std::string& service) const;
   objects::Labels TrafficLabels(const serving::Route& route,
                                 const std::string& workspace) const;
 
   serving::SlotScheduler& board_;
   objects::Catalog catalog_;
   std::map<std::string, uint64_t> versions_;  // of objects present, by name
-  std::map<BackendServerId, std::string> attached_;  // policy and version
-  std::map<std::string, std::vector<BackendServerId>> outside_;  // cache
+  std::map<BackendServerId, std::string>
+      server_policies_;  // policy and version
+  std::map<std::string, std::vector<BackendServerId>>
+      excluded_servers_;  // cache
 };
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/operators/status_page.cc
+++ b/libs/gateway/src/operators/status_page.cc
@@ -80,10 +80,10 @@
 
 json::array Refused(const objects::Catalog& catalog) {
   json::array refused;
-  for (const objects::RefusedObject& object : catalog.Refused()) {
+  for (const objects::RejectedObject& object : catalog.RejectedObjects()) {
     refused.push_back(json::object{{"object", object.id},
                                    {"version", object.version},
-                                   {"in_force", object.version_in_force},
+                                   {"in_force", object.active_version},
                                    {"reason", object.reason}});
   }
   return refused;
--- a/libs/gateway/src/operators/workspaces_page.cc
+++ b/libs/gateway/src/operators/workspaces_page.cc
@@ -40,15 +40,15 @@
 }  // namespace
 
 std::string RenderWorkspaces(const std::string& node, uint64_t configuration,
-                             const workspaces::Directory& workspaces,
+                             const workspaces::WorkspaceDirectory& workspaces,
                              const workspaces::RateQuota& rate, TimePoint now) {
   std::vector<Use> uses;
   for (const auto& [name, workspace] : workspaces.all()) {
     const uint64_t hash = Hash64(name);
     uses.push_back({.workspace = &workspace,
-                    .admitted = std::llround(rate.KnownCount(hash, now)),
+                    .admitted = std::llround(rate.TotalCount(hash, now)),
                     .own = rate.OwnCount(hash, now),
-                    .refused = rate.OwnRefused(hash, now)});
+                    .refused = rate.OwnRejected(hash, now)});
   }
   std::stable_sort(uses.begin(), uses.end(), [](const Use& a, const Use& b) {
     return a.admitted + a.refused > b.admitted + b.refused;
--- a/libs/gateway/src/operators/workspaces_page.h
+++ b/libs/gateway/src/operators/workspaces_page.h
@@ -7,7 +7,7 @@
 #include "base/time.h"
 
 namespace knapweedstile::workspaces {
-class Directory;
+class WorkspaceDirectory;
 class RateQuota;
 }  // namespace knapweedstile::workspaces
 
@@ -17,7 +17,7 @@
 // names, limits and use, and of their keys only how many there are. At most a
 // thousand, those in use first; `more` says that there are others.
 std::string RenderWorkspaces(const std::string& node, uint64_t configuration,
-                             const workspaces::Directory& workspaces,
+                             const workspaces::WorkspaceDirectory& workspaces,
                              const workspaces::RateQuota& rate, TimePoint now);
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/pause_detector.h
+++ b/libs/gateway/src/pause_detector.h
@@ -17,18 +17,18 @@
  public:
   // Called often, with the time of a clock that counts suspension. True when
   // more time has passed since the last call than a busy process needs.
-  bool Passed(TimePoint boot_now) {
-    const bool first = last_ == TimePoint{};
-    const bool paused = !first && boot_now - last_ > kLongestStep;
-    last_ = boot_now;
+  bool DetectPause(TimePoint boot_now) {
+    const bool first = last_boot_time_ == TimePoint{};
+    const bool paused = !first && boot_now - last_boot_time_ > kPauseThreshold;
+    last_boot_time_ = boot_now;
     return paused;
   }
 
  private:
   // Half of what other entries wait before they take this one for gone.
-  static constexpr std::chrono::milliseconds kLongestStep{700};
+  static constexpr std::chrono::milliseconds kPauseThreshold{700};
 
-  TimePoint last_{};
+  TimePoint last_boot_time_{};
 };
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/peers/entry_registration.cc
+++ b/libs/gateway/src/peers/gateway_registration.cc
@@ -1,4 +1,4 @@
-#include "peers/entry_registration.h"
+#include "peers/gateway_registration.h"
 
 #include <boost/asio/steady_timer.hpp>
 #include <memory>
@@ -18,22 +18,22 @@
 
 }  // namespace
 
-EntryRegistration::EntryRegistration(boost::asio::io_context& io,
-                                     StoreCalls& store, std::string entry,
-                                     const cluster::Member& own)
+GatewayRegistration::GatewayRegistration(boost::asio::io_context& io,
+                                         StoreCalls& store, std::string entry,
+                                         const cluster::Member& own)
     : io_(io),
       store_(store),
-      entry_(std::move(entry)),
+      gateway_(std::move(entry)),
       value_(EncodeMember(own)) {}
 
-void EntryRegistration::Register(uint64_t version, const std::string& value) {
-  if (std::exchange(begun_, true)) return;
+void GatewayRegistration::Register(uint64_t version, const std::string& value) {
+  if (std::exchange(started_, true)) return;
   if (version == 0 || value != value_) Write(version);
 }
 
-void EntryRegistration::Write(uint64_t version) {
+void GatewayRegistration::Write(uint64_t version) {
   store_.Call(platform::WriteRequest{.kind = kMemberKind,
-                                     .name = MemberRecordName(entry_),
+                                     .name = MemberRecordName(gateway_),
                                      .if_version = version,
                                      .value = value_},
               MonotonicNow() + kWriteTimeout,
--- a/libs/gateway/src/peers/entry_registration.h
+++ b/libs/gateway/src/peers/gateway_registration.h
@@ -1,5 +1,5 @@
-#ifndef KNAPWEEDSTILE_GATEWAY_ENTRY_REGISTRATION_H_
-#define KNAPWEEDSTILE_GATEWAY_ENTRY_REGISTRATION_H_
+#ifndef KNAPWEEDSTILE_GATEWAY_GATEWAY_REGISTRATION_H_
+#define KNAPWEEDSTILE_GATEWAY_GATEWAY_REGISTRATION_H_
 
 #include <boost/asio/io_context.hpp>
 #include <cstdint>
@@ -13,10 +13,10 @@
 
 // Writes to the store where this entry takes datagrams of the others, and tries
 // until it stands there.
-class EntryRegistration {
+class GatewayRegistration {
  public:
-  EntryRegistration(boost::asio::io_context& io, StoreCalls& store,
-                    std::string entry, const cluster::Member& own);
+  GatewayRegistration(boost::asio::io_context& io, StoreCalls& store,
+                      std::string entry, const cluster::Member& own);
 
   // `version` and `value` of the record that is there; zero: none. Nothing is
   // written once it stands there as it should.
@@ -27,11 +27,11 @@
 
   boost::asio::io_context& io_;
   StoreCalls& store_;
-  std::string entry_;
+  std::string gateway_;
   std::string value_;
-  bool begun_ = false;
+  bool started_ = false;
 };
 
 }  // namespace knapweedstile::gateway
 
-#endif  // KNAPWEEDSTILE_GATEWAY_ENTRY_REGISTRATION_H_
+#endif  // KNAPWEEDSTILE_GATEWAY_GATEWAY_REGISTRATION_H_
