--- a/libs/gateway/src/peers/peer_link.cc
+++ b/libs/gateway/src/peers/peer_link.cc
@@ -96,39 +96,40 @@
 void PeerLink::OnDatagram(std::string_view datagram,
                           const udp::endpoint& sender) {
   const auto state = DecodePeerState(datagram);
-  if (!state || state->entry == name_) return;
+  if (!state || state->gateway == name_) return;
   if (state->summary) return OnSummary(*state);
   if (!IsPeer(*state)) {
     // Another cell asks for a slot of this one's batch items.
-    if (!state->yield_instance.empty()) handlers_.yield(state->yield_instance);
+    if (!state->yield_instance.empty())
+      handlers_.preemption_requested(state->yield_instance);
     return;
   }
   // Who has just started knows the others from the store before they know it.
   // Not answering it would let it take this entry for dead and its jobs over.
-  addresses_.insert_or_assign(state->entry, sender);
+  addresses_.insert_or_assign(state->gateway, sender);
   if (!state->yield_instance.empty()) {
-    return handlers_.yield(state->yield_instance);
+    return handlers_.preemption_requested(state->yield_instance);
   }
-  const auto [known, is_new] = peers_.try_emplace(state->entry);
+  const auto [known, is_new] = peers_.try_emplace(state->gateway);
   Peer& peer = known->second;
   const bool older = std::pair(state->start, state->sequence) <=
                      std::pair(peer.state.start, peer.state.sequence);
   if (!is_new && older) return;
-  if (is_new) LogInfo("peer_found", {{"entry", state->entry}});
+  if (is_new) LogInfo("peer_found", {{"entry", state->gateway}});
   const bool started = is_new || state->start != peer.state.start;
-  Adopt(peer, *state, is_new);
-  if (started) handlers_.started(state->entry);
-  handlers_.state(*state);
+  UpdatePeer(peer, *state, is_new);
+  if (started) handlers_.peer_started(state->gateway);
+  handlers_.state_received(*state);
 }
 
 bool PeerLink::IsPeer(const PeerState& state) const {
-  return peers_.contains(state.entry) ||
-         handlers_.is_peer(state.entry, state.availability_zone);
+  return peers_.contains(state.gateway) ||
+         handlers_.is_peer(state.gateway, state.availability_zone);
 }
 
 void PeerLink::OnSummary(const PeerState& state) {
-  summaries_expire_at_[state.entry] = MonotonicNow() + kSummaryLifetime;
-  handlers_.summary(state);
+  summaries_expire_at_[state.gateway] = MonotonicNow() + kSummaryLifetime;
+  handlers_.summary_received(state);
 }
 
 std::vector<std::string> PeerLink::KeepPeers(
@@ -145,16 +146,16 @@
   return dropped;
 }
 
-void PeerLink::SetOtherCells(const std::vector<std::string>& addresses) {
-  other_cells_.clear();
+void PeerLink::SetRemoteGateways(const std::vector<std::string>& addresses) {
+  remote_gateways_.clear();
   for (const std::string& address : addresses) {
     if (const auto endpoint = ParseUdp(address)) {
-      other_cells_.push_back(*endpoint);
+      remote_gateways_.push_back(*endpoint);
     }
   }
 }
 
-void PeerLink::Adopt(Peer& peer, const PeerState& state, bool is_new) {
+void PeerLink::UpdatePeer(Peer& peer, const PeerState& state, bool is_new) {
   std::vector<uint64_t> items = std::move(peer.state.running_items);
   std::string zone = std::move(peer.state.availability_zone);
   peer.state = state;
@@ -175,14 +176,14 @@
 }
 
 void PeerLink::SetCells(const cluster::CellMap& cells) {
-  entries_by_cell_.clear();
+  peers_by_cell_.clear();
   for (const auto& [entry, peer] : peers_) {
-    entries_by_cell_[cells.CellOf(entry)].push_back(entry);
+    peers_by_cell_[cells.CellOf(entry)].push_back(entry);
   }
 }
 
 std::string PeerLink::Encode(PeerState& state) {
-  state.entry = name_;
+  state.gateway = name_;
   state.start = start_;
   state.sequence = ++sequence_;
   return EncodePeerState(state);
@@ -195,22 +196,24 @@
 }
 
 void PeerLink::AdvertiseToOtherCells(PeerState state) {
-  if (other_cells_.empty()) return;
+  if (remote_gateways_.empty()) return;
   state.summary = true;
   const std::string datagram = Encode(state);
   for (int sent = 0; sent < kCellsAtOnce; ++sent) {
-    SendTo(other_cells_[UniformBelow(rng_, other_cells_.size())], datagram);
+    SendTo(remote_gateways_[UniformBelow(rng_, remote_gateways_.size())],
+           datagram);
   }
 }
 
 void PeerLink::BroadcastSummary(PeerState state) {
   state.summary = true;
   const std::string datagram = Encode(state);
-  for (const udp::endpoint& address : other_cells_) SendTo(address, datagram);
+  for (const udp::endpoint& address : remote_gateways_)
+    SendTo(address, datagram);
 }
 
-void PeerLink::BroadcastByCell(PeerState state, const UsageIn& usage_in) {
-  for (const auto& [cell, entries] : entries_by_cell_) {
+void PeerLink::BroadcastByCell(PeerState state, const CellUsage& usage_in) {
+  for (const auto& [cell, entries] : peers_by_cell_) {
     state.usage = usage_in(cell);
     if (state.usage.empty()) continue;
     const std::string datagram = Encode(state);
@@ -221,8 +224,8 @@
   }
 }
 
-void PeerLink::AskToYield(const std::string& entry,
-                          const std::string& instance) {
+void PeerLink::RequestPreemption(const std::string& entry,
+                                 const std::string& instance) {
   const auto address = addresses_.find(entry);
   if (address == addresses_.end()) return;
   PeerState state;
@@ -244,12 +247,12 @@
   });
   for (const auto& [entry, draining] : lost) {
     LogInfo("peer_lost", {{"entry", entry}, {"draining", draining}});
-    handlers_.lost(entry, draining);
+    handlers_.peer_lost(entry, draining);
   }
   if (!lost.empty()) handlers_.membership_changed();
 }
 
-std::vector<std::string> PeerLink::WorkingEntries() const {
+std::vector<std::string> PeerLink::ActivePeers() const {
   std::vector<std::string> entries;
   for (const auto& [entry, peer] : peers_) {
     if (!peer.state.draining) entries.push_back(entry);
@@ -257,7 +260,7 @@
   return entries;
 }
 
-bool PeerLink::Works(const std::string& entry) const {
+bool PeerLink::IsActivePeer(const std::string& entry) const {
   const auto peer = peers_.find(entry);
   return peer != peers_.end() && !peer->second.state.draining;
 }
@@ -285,7 +288,7 @@
          std::to_string(address->second.port());
 }
 
-std::string PeerLink::EntryWithStore(
+std::string PeerLink::AddressOfPeerWithStore(
     const std::vector<std::string>& preferred) const {
   for (const std::string& entry : preferred) {
     const auto peer = peers_.find(entry);
@@ -300,21 +303,21 @@
   return {};
 }
 
-std::vector<std::string> PeerLink::EntriesOf(const serving::Cell& cell) const {
+std::vector<std::string> PeerLink::PeersIn(const serving::Cell& cell) const {
   if (cell == serving::Cell()) {
     std::vector<std::string> all;
     for (const auto& [entry, peer] : peers_) all.push_back(entry);
     return all;
   }
-  const auto entries = entries_by_cell_.find(cell);
-  return entries == entries_by_cell_.end() ? std::vector<std::string>()
-                                           : entries->second;
+  const auto entries = peers_by_cell_.find(cell);
+  return entries == peers_by_cell_.end() ? std::vector<std::string>()
+                                         : entries->second;
 }
 
-std::vector<std::string> PeerLink::SoundEntriesIn(const serving::Cell& cell,
+std::vector<std::string> PeerLink::HealthyPeersIn(const serving::Cell& cell,
                                                   TimePoint now) const {
   std::vector<std::string> sound;
-  for (const std::string& entry : EntriesOf(cell)) {
+  for (const std::string& entry : PeersIn(cell)) {
     const auto found = peers_.find(entry);
     if (found == peers_.end()) continue;
     const Peer& peer = found->second;
@@ -328,13 +331,13 @@
 std::vector<std::string> PeerLink::AddressesIn(
     const serving::Cell& cell) const {
   std::vector<std::string> addresses;
-  for (const std::string& entry : EntriesOf(cell)) {
+  for (const std::string& entry : PeersIn(cell)) {
     if (addresses_.contains(entry)) addresses.push_back(AddressOf(entry));
   }
   return addresses;
 }
 
-bool PeerLink::RunsElsewhere(uint64_t item) const {
+bool PeerLink::IsRunningOnPeer(uint64_t item) const {
   return std::any_of(peers_.begin(), peers_.end(), [item](const auto& peer) {
     const auto& items = peer.second.state.running_items;
     return std::find(items.begin(), items.end(), item) != items.end();
--- a/libs/gateway/src/peers/peer_state.cc
+++ b/libs/gateway/src/peers/peer_state.cc
@@ -21,17 +21,18 @@
 
 void WriteRate(const workspaces::RateReport& rate, wire::RateMessage& message) {
   message.set_uptime_millis(static_cast<uint64_t>(ToMillis(rate.uptime)));
-  message.set_entries(rate.entries);
+  message.set_entries(rate.fleet_size);
   for (const workspaces::AdmittedCount& count : rate.admitted) {
     message.add_workspace(count.workspace);
     for (const uint32_t in_span : count.in_spans) message.add_in_spans(in_span);
   }
-  for (const workspaces::FormerCount& former : rate.former) {
-    message.add_former_entry(former.entry);
+  for (const workspaces::PreviousProcessCount& former :
+       rate.previous_processes) {
+    message.add_former_entry(former.gateway);
     message.add_former_workspace(former.workspace);
     message.add_former_in_window(former.in_window);
   }
-  for (const workspaces::EntryHash entry : rate.unreachable) {
+  for (const workspaces::GatewayHash entry : rate.unreachable) {
     message.add_unreachable(entry);
   }
 }
@@ -39,7 +40,7 @@
 // False when the lists that run in parallel differ in length.
 bool ReadRate(const wire::RateMessage& message, workspaces::RateReport& rate) {
   rate.uptime = std::chrono::milliseconds(message.uptime_millis());
-  rate.entries = message.entries();
+  rate.fleet_size = message.entries();
   constexpr int kSpans = workspaces::kRateSpans;
   const int count = message.workspace_size();
   const int former = message.former_entry_size();
@@ -56,8 +57,9 @@
     rate.admitted.push_back(admitted);
   }
   for (int i = 0; i < former; ++i) {
-    rate.former.push_back({message.former_entry(i), message.former_workspace(i),
-                           message.former_in_window(i)});
+    rate.previous_processes.push_back({message.former_entry(i),
+                                       message.former_workspace(i),
+                                       message.former_in_window(i)});
   }
   rate.unreachable.assign(message.unreachable().begin(),
                           message.unreachable().end());
@@ -68,7 +70,7 @@
 
 std::string EncodePeerState(const PeerState& state) {
   wire::PeerStateMessage message;
-  message.set_entry(state.entry);
+  message.set_entry(state.gateway);
   message.set_availability_zone(state.availability_zone);
   message.set_start(state.start);
   message.set_sequence(state.sequence);
@@ -112,7 +114,7 @@
   // Bytes of another sender may happen to be a message with nothing in it.
   if (message.entry().empty()) return std::nullopt;
   PeerState state{
-      .entry = message.entry(),
+      .gateway = message.entry(),
       .availability_zone = message.availability_zone(),
       .start = message.start(),
       .sequence = message.sequence(),
--- a/libs/gateway/src/peers/peer_state.h
+++ b/libs/gateway/src/peers/peer_state.h
@@ -18,7 +18,7 @@
 // What one entry tells the others. A lost datagram is made good by the next
 // whole one.
 struct PeerState {
-  std::string entry;
+  std::string gateway;
   std::string availability_zone;  // of the entry; whole messages only
   uint64_t start = 0;     // a later start of the same entry has a higher one
   uint64_t sequence = 0;  // of this message, within one start
--- a/libs/gateway/src/peers/progress_link.cc
+++ b/libs/gateway/src/peers/progress_link.cc
@@ -17,8 +17,8 @@
 // The next notes follow within a second.
 constexpr std::chrono::milliseconds kSendTimeout{600};
 
-ProgressLink::Notes ReadNotes(const json::array& list) {
-  ProgressLink::Notes notes;
+ProgressLink::Updates ReadNotes(const json::array& list) {
+  ProgressLink::Updates notes;
   for (const json::value& entry : list) {
     const json::object& note = entry.as_object();
     notes.push_back({.job = std::string(note.at("job").as_string()),
@@ -32,7 +32,7 @@
 }  // namespace
 
 ProgressLink::ProgressLink(boost::asio::io_context& io,
-                           std::function<void(Notes&&)> received)
+                           std::function<void(Updates&&)> received)
     : received_(std::move(received)),
       client_(io, PeerClientSettings(), [](http::ClientEvent&& event) {
         const auto* end = std::get_if<http::EndEvent>(&event);
@@ -46,7 +46,7 @@
   return target == kTarget;
 }
 
-void ProgressLink::Send(const std::string& address, const Notes& notes) {
+void ProgressLink::Send(const std::string& address, const Updates& notes) {
   json::array list;
   for (const serving::ProgressUpdate& note : notes) {
     list.push_back(json::object{{"job", note.job},
--- a/libs/gateway/src/peers/progress_link.h
+++ b/libs/gateway/src/peers/progress_link.h
@@ -22,17 +22,17 @@
 // is begun again at every stop, and those of ten seconds are never in time.
 class ProgressLink {
  public:
-  using Notes = std::vector<serving::ProgressUpdate>;
+  using Updates = std::vector<serving::ProgressUpdate>;
 
   ProgressLink(boost::asio::io_context& io,
-               std::function<void(Notes&&)> received);
+               std::function<void(Updates&&)> received);
 
-  void Send(const std::string& address, const Notes& notes);
+  void Send(const std::string& address, const Updates& notes);
   static bool IsTarget(std::string_view target);
   void OnRequest(const http::RequestEvent& request);
 
  private:
-  std::function<void(Notes&&)> received_;
+  std::function<void(Updates&&)> received_;
   uint64_t last_exchange_ = 0;
   http::Client client_;
 };
--- a/libs/gateway/src/peers/record_codec.cc
+++ b/libs/gateway/src/peers/record_codec.cc
@@ -53,7 +53,7 @@
 
 // Fields of a message may stand in pieces one after the other, so that a packed
 // record can be put behind the others as it is.
-std::string PackRecord(const OwnRecord& record) {
+std::string PackRecord(const StoreRecord& record) {
   wire::RecordPushMessage message;
   wire::PackedRecordMessage& packed = *message.add_records();
   packed.set_name(record.name);
@@ -78,7 +78,7 @@
   const int size = static_cast<int>(text.size());
   if (!message.ParseFromArray(text.data(), size)) return std::nullopt;
   if (message.entry().empty()) return std::nullopt;
-  PushedRecords pushed{.entry = message.entry(),
+  PushedRecords pushed{.gateway = message.entry(),
                        .start = message.start(),
                        .count = message.count()};
   for (const wire::PackedRecordMessage& record : message.records()) {
--- a/libs/gateway/src/peers/record_push.cc
+++ b/libs/gateway/src/peers/record_push.cc
@@ -68,7 +68,7 @@
       .exchange = exchange, .status = 200, .body = std::move(body)});
 }
 
-bool RecordPush::IsOwnExchange(ExchangeId exchange) {
+bool RecordPush::IsPeerExchange(ExchangeId exchange) {
   return exchange.value() >= kFirstExchange;
 }
 
@@ -76,7 +76,7 @@
   server_.Execute(std::move(command));
 }
 
-void RecordPush::Push(const OwnRecord& record,
+void RecordPush::Push(const StoreRecord& record,
                       const std::map<std::string, std::string>& addresses) {
   ++count_;
   const auto shared = std::make_shared<const std::string>(PackRecord(record));
@@ -125,7 +125,7 @@
   if (taken) {
     // What the receiver says, not what was sent: an answer that came too late
     // is made up for by the next, and a gap before this message is not hidden.
-    Confirm(address, CountOf(end->body));
+    OnAcknowledged(address, CountOf(end->body));
   } else {
     // The receiver sees by the count that it lacks records and asks the store.
     LogWarning("push_failed", {{"address", address},
@@ -136,20 +136,20 @@
   if (!outbox.records.empty()) SendNext(address);
 }
 
-void RecordPush::Confirm(const std::string& address, uint64_t count) {
+void RecordPush::OnAcknowledged(const std::string& address, uint64_t count) {
   Outbox& outbox = outboxes_[address];
-  if (count <= outbox.heard) return;
-  outbox.heard = count;
+  if (count <= outbox.acknowledged) return;
+  outbox.acknowledged = count;
   handlers_.acknowledged();
 }
 
-uint64_t RecordPush::HeardBy(
+uint64_t RecordPush::AcknowledgedBy(
     const std::map<std::string, std::string>& addresses) const {
   uint64_t heard = count_;
   for (const auto& [entry, address] : addresses) {
     const auto outbox = outboxes_.find(address);
     if (outbox == outboxes_.end()) return 0;
-    heard = std::min(heard, outbox->second.heard);
+    heard = std::min(heard, outbox->second.acknowledged);
   }
   return heard;
 }
@@ -157,17 +157,18 @@
 bool RecordPush::OnRequest(http::ServerEvent&& event) {
   auto* request = std::get_if<http::RequestEvent>(&event);
   if (!request) {
-    if (gone_) gone_(std::get<http::DisconnectEvent>(event).exchange);
+    if (disconnect_handler_)
+      disconnect_handler_(std::get<http::DisconnectEvent>(event).exchange);
     return true;
   }
-  if (request->target != kTarget && other_) {
-    other_(std::move(*request));
+  if (request->target != kTarget && other_handler_) {
+    other_handler_(std::move(*request));
     return true;
   }
   http::RespondCommand answer{.exchange = request->exchange, .status = kTaken};
   if (auto pushed = DecodePush(request->body)) {
     const uint64_t known =
-        handlers_.received(pushed->entry, pushed->start, pushed->count,
+        handlers_.received(pushed->gateway, pushed->start, pushed->count,
                            std::move(pushed->records));
     answer.body = std::to_string(known);
   } else {
--- a/libs/gateway/src/peers/record_push.h
+++ b/libs/gateway/src/peers/record_push.h
@@ -13,7 +13,7 @@
 #include "base/error.h"
 #include "http/client.h"
 #include "http/server.h"
-#include "peers/own_record.h"
+#include "peers/store_record.h"
 
 namespace knapweedstile::gateway {
 
@@ -30,7 +30,7 @@
     // Records of another entry; `count` is how many it has written by then.
     // Returns how many of them are known here without a gap.
     std::function<uint64_t(const std::string& entry, uint64_t start,
-                           uint64_t count, std::vector<OwnRecord>&& records)>
+                           uint64_t count, std::vector<StoreRecord>&& records)>
         received;
     // Another entry has acknowledged records of this one.
     std::function<void()> acknowledged;
@@ -42,25 +42,26 @@
   // Requests for other targets go to `handler`.
   void SetOtherHandler(
       std::function<void(http::RequestEvent&& request)> handler) {
-    other_ = std::move(handler);
+    other_handler_ = std::move(handler);
   }
   // A gateway no longer waits for the answer to its request.
-  void SetGoneHandler(std::function<void(ExchangeId exchange)> handler) {
-    gone_ = std::move(handler);
+  void SetDisconnectHandler(std::function<void(ExchangeId exchange)> handler) {
+    disconnect_handler_ = std::move(handler);
   }
   Result<bool> Listen(const std::string& address);
   void Respond(ExchangeId exchange, std::string body);
   // Whether the exchange is of another gateway's request; and its answer.
-  static bool IsOwnExchange(ExchangeId exchange);
+  static bool IsPeerExchange(ExchangeId exchange);
   void Execute(http::ServerCommand&& command);
   // Queues a record, just written, for the entries at `addresses`.
-  void Push(const OwnRecord& record,
+  void Push(const StoreRecord& record,
             const std::map<std::string, std::string>& addresses);
   // The entry at `address` has read the store: it has this entry's records up
   // to `count`.
-  void Confirm(const std::string& address, uint64_t count);
+  void OnAcknowledged(const std::string& address, uint64_t count);
   // How many of this entry's records each of the entries at `addresses` has.
-  uint64_t HeardBy(const std::map<std::string, std::string>& addresses) const;
+  uint64_t AcknowledgedBy(
+      const std::map<std::string, std::string>& addresses) const;
   // Records written by this entry since its start.
   uint64_t count() const noexcept { return count_; }
 
@@ -70,7 +71,7 @@
     std::deque<std::shared_ptr<const std::string>> records;
     uint64_t count = 0;  // written when the last of them was
     bool in_flight = false;
-    uint64_t heard = 0;  // the entry has all records up to this one
+    uint64_t acknowledged = 0;  // the entry has all records up to this one
   };
   void SendNext(const std::string& address);
   void OnSent(http::ClientEvent&& event);
@@ -79,8 +80,8 @@
   std::string name_;
   uint64_t start_;
   Handlers handlers_;
-  std::function<void(http::RequestEvent&&)> other_;
-  std::function<void(ExchangeId)> gone_;
+  std::function<void(http::RequestEvent&&)> other_handler_;
+  std::function<void(ExchangeId)> disconnect_handler_;
   uint64_t count_ = 0;
   uint64_t last_exchange_ = 0;
   std::map<std::string, Outbox> outboxes_;  // by address
--- a/libs/gateway/src/peers/state_sharer.cc
+++ b/libs/gateway/src/peers/state_publisher.cc
@@ -1,4 +1,4 @@
-#include "peers/state_sharer.h"
+#include "peers/state_publisher.h"
 
 #include <algorithm>
 #include <utility>
@@ -20,27 +20,28 @@
 
 }  // namespace
 
-StateSharer::StateSharer(boost::asio::io_context& io, PeerLink& peers,
-                         const serving::SlotScheduler& board,
-                         workspaces::RateQuota& rate, Ports ports)
+StatePublisher::StatePublisher(boost::asio::io_context& io, PeerLink& peers,
+                               const serving::SlotScheduler& board,
+                               workspaces::RateQuota& rate, Callbacks ports)
     : peers_(peers),
-      board_(board),
+      scheduler_(board),
       rate_(rate),
-      ports_(std::move(ports)),
+      callbacks_(std::move(ports)),
       timer_(io) {}
 
-void StateSharer::OnUsageChanged() {
+void StatePublisher::OnUsageChanged() {
   if (std::exchange(armed_, true)) return;
-  const TimePoint due = shared_at_ + kPausePerEntry * (entries_in_cell_ - 1);
+  const TimePoint due =
+      published_at_ + kPausePerEntry * (gateways_in_cell_ - 1);
   timer_.expires_at(std::max(MonotonicNow(), due));
   timer_.async_wait([this](const boost::system::error_code& ec) {
-    if (!ec) ShareChanges(MonotonicNow());
+    if (!ec) PublishDelta(MonotonicNow());
   });
 }
 
-serving::UsageByProcess StateSharer::TakeUsageDelta() {
+serving::UsageByProcess StatePublisher::TakeUsageDelta() {
   serving::UsageByProcess changes;
-  serving::UsageByProcess usage = board_.OwnUsage();
+  serving::UsageByProcess usage = scheduler_.OwnUsage();
   for (const auto& [process, counts] : usage) {
     const auto published = published_usage_.find(process);
     if (published == published_usage_.end() || !(published->second == counts)) {
@@ -54,42 +55,42 @@
   return changes;
 }
 
-void StateSharer::ShareChanges(TimePoint now) {
+void StatePublisher::PublishDelta(TimePoint now) {
   armed_ = false;
-  shared_at_ = now;
+  published_at_ = now;
   const serving::UsageByProcess changes = TakeUsageDelta();
-  PeerState state = ports_.every();
+  PeerState state = callbacks_.base_state();
   state.partial = true;
-  state.rate = rate_.TakeChanges(now);
+  state.rate = rate_.TakeDeltaReport(now);
   peers_.BroadcastByCell(std::move(state), [&](const serving::Cell& cell) {
     serving::UsageByProcess usage;
     for (const auto& [process, counts] : changes) {
-      const serving::ServerRecord* record = board_.RecordByProcess(process);
+      const serving::ServerRecord* record = scheduler_.RecordByProcess(process);
       if (record && cell.Contains(*record)) usage[process] = counts;
     }
     return usage;
   });
 }
 
-void StateSharer::ShareWhole(TimePoint now) {
-  shared_whole_at_ = now;
-  PeerState state = ports_.every();
-  ports_.whole(state, now);
-  state.usage = board_.OwnUsage();
-  state.rate = rate_.Report(now);
+void StatePublisher::PublishFull(TimePoint now) {
+  full_published_at_ = now;
+  PeerState state = callbacks_.base_state();
+  callbacks_.add_full_state(state, now);
+  state.usage = scheduler_.OwnUsage();
+  state.rate = rate_.FullReport(now);
   published_usage_ = state.usage;
   peers_.Broadcast(std::move(state));
-  ShareSummary(now);
+  PublishSummary(now);
 }
 
-void StateSharer::ShareSummary(TimePoint now) {
-  if (auto summary = ports_.summary(now)) {
+void StatePublisher::PublishSummary(TimePoint now) {
+  if (auto summary = callbacks_.summary(now)) {
     peers_.BroadcastSummary(std::move(*summary));
   }
 }
 
-void StateSharer::Run(TimePoint now) {
-  if (now - shared_whole_at_ >= kHeartbeat) ShareWhole(now);
+void StatePublisher::Run(TimePoint now) {
+  if (now - full_published_at_ >= kHeartbeat) PublishFull(now);
 }
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/peers/own_record.h
+++ b/libs/gateway/src/peers/store_record.h
@@ -1,16 +1,16 @@
-#ifndef KNAPWEEDSTILE_GATEWAY_OWN_RECORD_H_
-#define KNAPWEEDSTILE_GATEWAY_OWN_RECORD_H_
+#ifndef KNAPWEEDSTILE_GATEWAY_STORE_RECORD_H_
+#define KNAPWEEDSTILE_GATEWAY_STORE_RECORD_H_
 
 #include <string>
 
 namespace knapweedstile::gateway {
 
 // One of the system's own objects in the store (job_records.h).
-struct OwnRecord {
+struct StoreRecord {
   std::string name;
   std::string value;
 };
 
 }  // namespace knapweedstile::gateway
 
-#endif  // KNAPWEEDSTILE_GATEWAY_OWN_RECORD_H_
+#endif  // KNAPWEEDSTILE_GATEWAY_STORE_RECORD_H_
--- a/libs/gateway/src/peers/sync_tracker.cc
+++ b/libs/gateway/src/peers/sync_tracker.cc
@@ -36,48 +36,50 @@
 
 }  // namespace
 
-SyncTracker::Entry& SyncTracker::Known(const std::string& name, uint64_t start,
-                                       TimePoint now) {
-  Entry& entry = entries_[name];
+SyncTracker::Peer& SyncTracker::EnsurePeer(const std::string& name,
+                                           uint64_t start, TimePoint now) {
+  Peer& entry = peers_[name];
   if (entry.start == start) return entry;
   const bool restarted = entry.start != 0;
-  entry = {.start = start, .started_at = now, .unread_start = restarted};
+  entry = {.start = start,
+           .first_seen_at = now,
+           .needs_read_after_restart = restarted};
   return entry;
 }
 
-void SyncTracker::Raise(Entry& entry, uint64_t count, TimePoint now) {
+void SyncTracker::RaiseAdvertised(Peer& entry, uint64_t count, TimePoint now) {
   if (count <= entry.advertised) return;
   entry.advertised = count;
   // The oldest stay as they are: they say since when something is missing.
-  if (entry.untaken.size() >= kMostTellings) entry.untaken.pop_back();
-  entry.untaken.push_back({count, now});
+  if (entry.pending.size() >= kMostTellings) entry.pending.pop_back();
+  entry.pending.push_back({count, now});
 }
 
-void SyncTracker::Take(Entry& entry, uint64_t count) {
+void SyncTracker::MarkReceived(Peer& entry, uint64_t count) {
   entry.received = std::max(entry.received, count);
-  while (entry.behind() && entry.untaken.front().count <= entry.received) {
-    entry.untaken.pop_front();
+  while (entry.behind() && entry.pending.front().count <= entry.received) {
+    entry.pending.pop_front();
   }
 }
 
-void SyncTracker::Expect(const std::string& name, TimePoint now) {
-  entries_.try_emplace(name, Entry{.heard_at = now});
+void SyncTracker::AddPeer(const std::string& name, TimePoint now) {
+  peers_.try_emplace(name, Peer{.last_report_at = now});
 }
 
-void SyncTracker::OnCount(const std::string& name, uint64_t start,
-                          uint64_t count, TimePoint now) {
-  Entry& entry = Known(name, start, now);
-  entry.heard_at = now;
-  Raise(entry, count, now);
+void SyncTracker::OnAdvertisedCount(const std::string& name, uint64_t start,
+                                    uint64_t count, TimePoint now) {
+  Peer& entry = EnsurePeer(name, start, now);
+  entry.last_report_at = now;
+  RaiseAdvertised(entry, count, now);
 }
 
 void SyncTracker::OnReceived(const std::string& name, uint64_t start,
                              uint64_t before, uint64_t count, TimePoint now) {
-  Entry& entry = Known(name, start, now);
-  entry.heard_at = now;
-  Raise(entry, count, now);
+  Peer& entry = EnsurePeer(name, start, now);
+  entry.last_report_at = now;
+  RaiseAdvertised(entry, count, now);
   // With a gap before it, what was received does not make up for it.
-  if (entry.received >= before) Take(entry, count);
+  if (entry.received >= before) MarkReceived(entry, count);
 }
 
 // Failure guarded against: an entry that writes several records a second tells
@@ -86,76 +88,78 @@
 // and it starts no item as long as it is.
 void SyncTracker::OnStoreRead(TimePoint began, TimePoint now) {
   read_began_ = std::max(read_began_, began);
-  for (auto& [name, entry] : entries_) {
+  for (auto& [name, entry] : peers_) {
     uint64_t known = entry.received;
-    for (const Telling& telling : entry.untaken) {
-      if (telling.at <= began) known = telling.count;
+    for (const PendingCount& telling : entry.pending) {
+      if (telling.advertised_at <= began) known = telling.count;
     }
-    if (known > entry.received) entry.filled_at = now;
-    Take(entry, known);
-    if (entry.started_at <= began) entry.unread_start = false;
+    if (known > entry.received) entry.recovered_at = now;
+    MarkReceived(entry, known);
+    if (entry.first_seen_at <= began) entry.needs_read_after_restart = false;
   }
 }
 
 void SyncTracker::OnPaused(TimePoint now) { paused_at_ = now; }
 
-std::map<std::string, RecordCount> SyncTracker::FilledLately(
+std::map<std::string, RecordCount> SyncTracker::RecentlyRecovered(
     TimePoint now) const {
   std::map<std::string, RecordCount> filled;
-  for (const auto& [name, entry] : entries_) {
-    if (entry.filled_at == TimePoint{}) continue;
-    if (now - entry.filled_at > kReportFilled) continue;
+  for (const auto& [name, entry] : peers_) {
+    if (entry.recovered_at == TimePoint{}) continue;
+    if (now - entry.recovered_at > kReportFilled) continue;
     filled[name] = {entry.start, entry.received};
   }
   return filled;
 }
 
-void SyncTracker::Forget(const std::string& name) { entries_.erase(name); }
+void SyncTracker::RemovePeer(const std::string& name) { peers_.erase(name); }
 
-bool SyncTracker::IsBehind(const Entry& entry, TimePoint now) {
-  if (entry.unread_start && now - entry.started_at >= kPushTime) return true;
-  return entry.behind() && now - entry.untaken.front().at >= kPushTime;
+bool SyncTracker::IsBehind(const Peer& entry, TimePoint now) {
+  if (entry.needs_read_after_restart && now - entry.first_seen_at >= kPushTime)
+    return true;
+  return entry.behind() &&
+         now - entry.pending.front().advertised_at >= kPushTime;
 }
 
-bool SyncTracker::IsSilent(const Entry& entry, TimePoint now) {
-  const Duration silence = now - entry.heard_at;
+bool SyncTracker::IsSilent(const Peer& entry, TimePoint now) {
+  const Duration silence = now - entry.last_report_at;
   return silence >= kSilence && silence < kLongestSilence;
 }
 
-bool SyncTracker::MustAskStore(TimePoint now) const {
+bool SyncTracker::NeedsStoreRead(TimePoint now) const {
   if (read_began_ < paused_at_) return true;
   const Duration since_read = now - read_began_;
-  const bool wanted = now - wanted_at_ < kWantedFor;
+  const bool wanted = now - caller_waiting_at_ < kWantedFor;
   const auto silent_pause = wanted ? kSilentAskPause : kUnwantedAskPause;
-  return std::any_of(entries_.begin(), entries_.end(), [&](const auto& e) {
+  return std::any_of(peers_.begin(), peers_.end(), [&](const auto& e) {
     return (since_read >= kAskPause && IsBehind(e.second, now)) ||
            (since_read >= silent_pause && IsSilent(e.second, now));
   });
 }
 
 bool SyncTracker::HasGap(TimePoint now) const {
-  return std::any_of(entries_.begin(), entries_.end(), [now](const auto& e) {
+  return std::any_of(peers_.begin(), peers_.end(), [now](const auto& e) {
     return e.second.behind() &&
            now - e.second.untaken.front().at >= kLongestGap;
   });
 }
 
-uint64_t SyncTracker::ReceivedOf(const std::string& name) const {
-  const auto entry = entries_.find(name);
-  return entry == entries_.end() ? 0 : entry->second.received;
+uint64_t SyncTracker::ReceivedFrom(const std::string& name) const {
+  const auto entry = peers_.find(name);
+  return entry == peers_.end() ? 0 : entry->second.received;
 }
 
-bool SyncTracker::Complete(TimePoint now) const {
+bool SyncTracker::IsComplete(TimePoint now) const {
   const bool read = read_began_ != TimePoint{} && read_began_ >= paused_at_;
   return read && !HasGap(now);
 }
 
-bool SyncTracker::Current(TimePoint now) const {
+bool SyncTracker::IsCurrent(TimePoint now) const {
   if (read_began_ == TimePoint{} || read_began_ < paused_at_) return false;
   // A silent entry may commit at any time, so only a recent read makes up for
   // it; one that is behind is made up for by its next read.
-  return std::none_of(entries_.begin(), entries_.end(), [&](const auto& e) {
-    const Entry& entry = e.second;
+  return std::none_of(peers_.begin(), peers_.end(), [&](const auto& e) {
+    const Peer& entry = e.second;
     return IsBehind(entry, now) ||
            (IsSilent(entry, now) && now - read_began_ > kReadLifetime);
   });
--- a/libs/gateway/src/peers/sync_tracker.h
+++ b/libs/gateway/src/peers/sync_tracker.h
@@ -22,9 +22,9 @@
  public:
   // Commands: what was heard of another entry's records.
   // An entry is registered that may not have been heard yet.
-  void Expect(const std::string& entry, TimePoint now);
-  void OnCount(const std::string& entry, uint64_t start, uint64_t count,
-               TimePoint now);
+  void AddPeer(const std::string& entry, TimePoint now);
+  void OnAdvertisedCount(const std::string& entry, uint64_t start,
+                         uint64_t count, TimePoint now);
   void OnReceived(const std::string& entry, uint64_t start, uint64_t before,
                   uint64_t count, TimePoint now);
   // A read of the store that began at `began` has ended well: what was counted
@@ -34,58 +34,58 @@
   // it counts only after the store has been read.
   void OnPaused(TimePoint now);
   // The entry said that it leaves: its silence then hides nothing.
-  void Forget(const std::string& entry);
+  void RemovePeer(const std::string& entry);
 
   // Queries. Whether the store must be asked now.
-  bool MustAskStore(TimePoint now) const;
+  bool NeedsStoreRead(TimePoint now) const;
   // Whether records that others count have been missing here for so long that
   // nothing should be begun that one of them may forbid.
   bool HasGap(TimePoint now) const;
   // Entries whose records were read from the store lately instead of being
   // pushed: what they may take for known here.
-  std::map<std::string, RecordCount> FilledLately(TimePoint now) const;
+  std::map<std::string, RecordCount> RecentlyRecovered(TimePoint now) const;
   // The entry's records that are known here without a gap.
-  uint64_t ReceivedOf(const std::string& entry) const;
+  uint64_t ReceivedFrom(const std::string& entry) const;
   // Whether the store was read, since the last pause as well, and no gap stays.
-  bool Complete(TimePoint now) const;
+  bool IsComplete(TimePoint now) const;
   // Whether every record that another entry may have shown to a caller is known
   // here. False before the first read of the store.
-  bool Current(TimePoint now) const;
+  bool IsCurrent(TimePoint now) const;
 
   // Command: a caller waits for the answer to Current().
-  void OnWanted(TimePoint now) { wanted_at_ = now; }
+  void OnCallerWaiting(TimePoint now) { caller_waiting_at_ = now; }
 
  private:
   // When a count above what is known here was first advertised.
-  struct Telling {
+  struct PendingCount {
     uint64_t count = 0;
-    TimePoint at{};
+    TimePoint advertised_at{};
   };
-  struct Entry {
+  struct Peer {
     uint64_t start = 0;
     uint64_t advertised = 0;  // records it says it has written
     uint64_t received = 0;    // of these, known here
     // Counts above `received`, in order.
-    std::deque<Telling> untaken;
-    TimePoint started_at{};  // when this start was first heard of
-    TimePoint heard_at{};
+    std::deque<PendingCount> pending;
+    TimePoint first_seen_at{};  // when this start was first heard of
+    TimePoint last_report_at{};
 
-    bool behind() const noexcept { return !untaken.empty(); }
+    bool behind() const noexcept { return !pending.empty(); }
     // It has started again: what it wrote last before may be unknown here.
-    bool unread_start = false;
-    TimePoint filled_at{};  // when a gap was last filled from the store
+    bool needs_read_after_restart = false;
+    TimePoint recovered_at{};  // when a gap was last filled from the store
   };
 
-  static void Raise(Entry& entry, uint64_t count, TimePoint now);
-  static void Take(Entry& entry, uint64_t count);
-  static bool IsBehind(const Entry& entry, TimePoint now);
-  static bool IsSilent(const Entry& entry, TimePoint now);
-  Entry& Known(const std::string& entry, uint64_t start, TimePoint now);
+  static void RaiseAdvertised(Peer& entry, uint64_t count, TimePoint now);
+  static void MarkReceived(Peer& entry, uint64_t count);
+  static bool IsBehind(const Peer& entry, TimePoint now);
+  static bool IsSilent(const Peer& entry, TimePoint now);
+  Peer& EnsurePeer(const std::string& entry, uint64_t start, TimePoint now);
 
-  std::map<std::string, Entry> entries_;
+  std::map<std::string, Peer> peers_;
   TimePoint read_began_{};
   TimePoint paused_at_{};
-  TimePoint wanted_at_{};
+  TimePoint caller_waiting_at_{};
 };
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/servers/server_directory.cc
+++ b/libs/gateway/src/servers/server_directory.cc
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-void ServerDirectory::Adopt(const platform::StoredObject& object) {
+void ServerDirectory::ApplyRecord(const platform::StoredObject& object) {
   missing_.erase(object.name);
   serving::ServerRecord record;
   const bool valid = boost::leaf::try_handle_all(
@@ -38,36 +38,36 @@
         return false;
       },
       [] { return false; });
-  if (!valid) return Forget(object.name);
-  const auto known = known_.find(object.name);
-  if (known != known_.end() && SameRecord(known->second, record)) return;
-  const BackendServerId former = board_.Find(object.name);
+  if (!valid) return RemoveInvalid(object.name);
+  const auto known = records_.find(object.name);
+  if (known != records_.end() && SameRecord(known->second, record)) return;
+  const BackendServerId former = scheduler_.Find(object.name);
   const std::string address =
-      known == known_.end() ? std::string() : known->second.address;
+      known == records_.end() ? std::string() : known->second.address;
   LogInfo("server_changed", {{"instance", record.instance},
                              {"service", record.service},
                              {"address", record.address},
                              {"start", record.start},
                              {"draining", record.draining},
                              {"revision", object.version}});
-  board_.Upsert(record);
-  known_[object.name] = std::move(record);
-  if (former && former != board_.Find(object.name)) {
-    restarted_(former, address);
+  scheduler_.Upsert(record);
+  records_[object.name] = std::move(record);
+  if (former && former != scheduler_.Find(object.name)) {
+    on_restart_(former, address);
   }
 }
 
 // Failure guarded against: another writer has put something over a server's
 // entry. Going on by the entry before would send requests to a server that may
 // long have left.
-void ServerDirectory::Forget(const std::string& instance) {
+void ServerDirectory::RemoveInvalid(const std::string& instance) {
   missing_.erase(instance);
-  if (known_.erase(instance) > 0) board_.Remove(instance);
+  if (records_.erase(instance) > 0) scheduler_.Remove(instance);
 }
 
-void ServerDirectory::Drop(const std::string& instance, TimePoint now,
-                           TimePoint store_regained) {
-  if (!known_.contains(instance) || missing_.contains(instance)) return;
+void ServerDirectory::MarkMissing(const std::string& instance, TimePoint now,
+                                  TimePoint store_regained) {
+  if (!records_.contains(instance) || missing_.contains(instance)) return;
   missing_[instance] = std::max(now, store_regained + kReturnTime);
   Expire(now);
 }
@@ -77,27 +77,28 @@
   std::set<std::string> present;
   for (const platform::StoredObject& object : objects) {
     present.insert(object.name);
-    Adopt(object);
+    ApplyRecord(object);
   }
   std::vector<std::string> gone;
-  for (const auto& [instance, record] : known_) {
+  for (const auto& [instance, record] : records_) {
     if (!present.contains(instance)) gone.push_back(instance);
   }
-  for (const std::string& instance : gone) Drop(instance, now, store_regained);
+  for (const std::string& instance : gone)
+    MarkMissing(instance, now, store_regained);
 }
 
 void ServerDirectory::OnChanged(platform::StoredObject&& object, TimePoint now,
                                 TimePoint store_regained) {
-  if (object.deleted) return Drop(object.name, now, store_regained);
-  Adopt(object);
+  if (object.deleted) return MarkMissing(object.name, now, store_regained);
+  ApplyRecord(object);
 }
 
 bool ServerDirectory::Expire(TimePoint now) {
   const size_t removed = std::erase_if(missing_, [&](const auto& entry) {
     if (entry.second > now) return false;
     LogInfo("server_gone", {{"instance", entry.first}});
-    board_.Remove(entry.first);
-    known_.erase(entry.first);
+    scheduler_.Remove(entry.first);
+    records_.erase(entry.first);
     return true;
   });
   return removed > 0;
--- a/libs/gateway/src/servers/server_directory.h
+++ b/libs/gateway/src/servers/server_directory.h
@@ -25,11 +25,11 @@
  public:
   // Told the id that a server had before its process started again, and where
   // that was: what that process held is lost.
-  using Restarted =
+  using RestartCallback =
       std::function<void(BackendServerId former, const std::string& address)>;
 
-  ServerDirectory(serving::SlotScheduler& board, Restarted restarted)
-      : board_(board), restarted_(std::move(restarted)) {}
+  ServerDirectory(serving::SlotScheduler& board, RestartCallback restarted)
+      : scheduler_(board), on_restart_(std::move(restarted)) {}
 
   void OnListed(std::vector<platform::StoredObject>&& objects, TimePoint now,
                 TimePoint store_regained);
@@ -39,17 +39,17 @@
   // Whether any was removed.
   bool Expire(TimePoint now);
 
-  size_t size() const noexcept { return known_.size(); }
+  size_t size() const noexcept { return records_.size(); }
 
  private:
-  void Adopt(const platform::StoredObject& object);
-  void Forget(const std::string& instance);
-  void Drop(const std::string& instance, TimePoint now,
-            TimePoint store_regained);
-
-  serving::SlotScheduler& board_;
-  Restarted restarted_;
-  std::map<std::string, serving::ServerRecord> known_;
+  void ApplyRecord(const platform::StoredObject& object);
+  void RemoveInvalid(const std::string& instance);
+  void MarkMissing(const std::string& instance, TimePoint now,
+                   TimePoint store_regained);
+
+  serving::SlotScheduler& scheduler_;
+  RestartCallback on_restart_;
+  std::map<std::string, serving::ServerRecord> records_;
   std::map<std::string, TimePoint> missing_;  // removed from then on
 };
 
--- a/libs/gateway/src/store/kind_mirror.cc
+++ b/libs/gateway/src/store/kind_mirror.cc
@@ -47,7 +47,7 @@
       handlers_(std::move(handlers)),
       timer_(io) {}
 
-void KindMirror::After(Duration pause, void (KindMirror::*next)()) {
+void KindMirror::ScheduleAfter(Duration pause, void (KindMirror::*next)()) {
   timer_.expires_after(pause);
   timer_.async_wait([this, next, pause_number = ++pause_number_](
                         const boost::system::error_code& ec) {
@@ -65,15 +65,15 @@
                                {"outcome", NameOf(answer.outcome)},
                                {"reason", answer.message}});
   }
-  const auto longest = settings_.probes ? kLastRetry : kSeldomRetry;
+  const auto longest = settings_.probes_lost_store ? kLastRetry : kSeldomRetry;
   const auto pause =
       std::min(kFirstRetry * (1 << std::min(failures_, 5U)), longest);
   ++failures_;
   retrying_ = true;
-  After(std::max<Duration>(pause, answer.retry_after), next);
+  ScheduleAfter(std::max<Duration>(pause, answer.retry_after), next);
 }
 
-auto KindMirror::Current(void (KindMirror::*handler)(StoreAnswer&&)) {
+auto KindMirror::IfCurrent(void (KindMirror::*handler)(StoreAnswer&&)) {
   return [this, handler, generation = generation_](StoreAnswer&& answer) {
     if (generation == generation_) (this->*handler)(std::move(answer));
   };
@@ -91,20 +91,20 @@
   EndPause();
 }
 
-void KindMirror::Poke() {
+void KindMirror::SkipPause() {
   if (!pausing_) return;
   EndPause();
   ReadNow();
 }
 
-void KindMirror::SetFed(bool fed) {
-  if (fed_ == fed) return;
-  fed_ = fed;
+void KindMirror::SetReceivesUpdates(bool fed) {
+  if (receives_updates_ == fed) return;
+  receives_updates_ = fed;
   // A watch brings at once what has changed since.
-  if (!fed && parked_) Watch();
+  if (!fed && waiting_for_updates_) Watch();
 }
 
-bool KindMirror::Continues(const StoreNews& news) const {
+bool KindMirror::IsContiguous(const StoreUpdate& news) const {
   if (news.digest_before == digest_.value()) return true;
   if (news.after > revision_) return false;
   if (news.after == revision_) return true;
@@ -114,27 +114,28 @@
                       [](const auto& object) { return object.deleted; });
 }
 
-void KindMirror::OnNews(StoreNews&& news) {
+void KindMirror::OnStoreUpdate(StoreUpdate&& news) {
   // The answer to a call in flight may be older than the news.
-  const bool idle = parked_ || (pausing_ && !retrying_);
+  const bool idle = waiting_for_updates_ || (pausing_ && !retrying_);
   if (!idle || news.as_of <= revision_) return;
-  if (!Continues(news)) return parked_ ? ReadNow() : Poke();
+  if (!IsContiguous(news))
+    return waiting_for_updates_ ? ReadNow() : SkipPause();
   const uint64_t known = std::exchange(revision_, news.as_of);
   for (platform::StoredObject& object : news.objects) {
     if (!object.deleted && object.version <= known) continue;
     newest_change_ = std::max(newest_change_, object.version);
-    Change(std::move(object));
+    ApplyChange(std::move(object));
   }
 }
 
-void KindMirror::Change(platform::StoredObject&& object) {
-  if (handlers_.news) digest_.Apply(object);
+void KindMirror::ApplyChange(platform::StoredObject&& object) {
+  if (handlers_.update_read) digest_.Apply(object);
   handlers_.changed(std::move(object));
 }
 
-void KindMirror::ReadAnew() {
-  if (parked_) return ReadNow();
-  if (pausing_) return Poke();
+void KindMirror::ReadAgain() {
+  if (waiting_for_updates_) return ReadNow();
+  if (pausing_) return SkipPause();
   if (!watching_) return;
   ++generation_;
   ReadNow();
@@ -144,7 +145,7 @@
   if (!watching_ || MonotonicNow() - call_began_ < kSilentWatch) return;
   LogInfo("mirror_watch_renewed",
           {{"kind", settings_.kind}, {"revision", revision_}});
-  ReadAnew();
+  ReadAgain();
 }
 
 void KindMirror::OnStoreRegained() {
@@ -152,10 +153,10 @@
   // Failure guarded against: at VMs whose links were busy, answers came late,
   // the store was taken for lost and regained several times a second, and each
   // time all records were listed once more; no list ever came to its end.
-  if (settings_.large && listing_) return;
+  if (settings_.large_kind && listing_) return;
   ++generation_;
   EndPause();
-  if (settings_.large && revision_ != 0) return ReadNow();
+  if (settings_.large_kind && revision_ != 0) return ReadNow();
   List();
 }
 
@@ -172,15 +173,16 @@
 
 void KindMirror::List() {
   if (stopped_) return;
-  parked_ = false;
+  waiting_for_updates_ = false;
   watching_ = false;
   listing_ = true;
   call_began_ = MonotonicNow();
-  const Duration timeout = settings_.large ? kLargeAnswer : kListTimeout;
-  const bool stale = settings_.stale_start && revision_ == 0 && failures_ == 0;
+  const Duration timeout = settings_.large_kind ? kLargeAnswer : kListTimeout;
+  const bool stale =
+      settings_.stale_first_list && revision_ == 0 && failures_ == 0;
   store_.Call(
       platform::ListRequest{.kind = settings_.kind, .may_be_stale = stale},
-      call_began_ + timeout, Current(&KindMirror::OnListed));
+      call_began_ + timeout, IfCurrent(&KindMirror::OnListed));
 }
 
 void KindMirror::OnListed(StoreAnswer&& answer) {
@@ -190,38 +192,41 @@
   }
   failures_ = 0;
   following_ = true;
-  known_at_ = call_began_;
+  up_to_date_at_ = call_began_;
   const bool first = revision_ == 0;
   revision_ = std::max<uint64_t>(answer.revision, 1);
-  if (handlers_.news) digest_.Reset(answer.objects);
+  if (handlers_.update_read) digest_.Reset(answer.objects);
   LogInfo("mirror_listed", {{"kind", settings_.kind},
                             {"objects", answer.objects.size()},
                             {"revision", revision_}});
   for (const platform::StoredObject& object : answer.objects) {
     newest_change_ = std::max(newest_change_, object.version);
   }
-  const bool may_be_stale = settings_.stale_start && first;
+  const bool may_be_stale = settings_.stale_first_list && first;
   caught_up_ = !may_be_stale && MonotonicNow() - call_began_ <= kFreshList;
   handlers_.listed(std::move(answer.objects));
-  if (handlers_.read && !may_be_stale) handlers_.read(call_began_);
-  if (may_be_stale && settings_.rest_after_stale) return Rest();
+  if (handlers_.read_completed && !may_be_stale)
+    handlers_.read_completed(call_began_);
+  if (may_be_stale && settings_.pause_after_stale_list) return Pause();
   Watch();
 }
 
 void KindMirror::Watch() {
-  read_now_ = false;
-  if (settings_.on_demand && caught_up_) return Rest();
-  parked_ = fed_ && (caught_up_ || settings_.stale_start);
-  if (parked_) return;
+  immediate_read_ = false;
+  if (settings_.on_demand && caught_up_) return Pause();
+  waiting_for_updates_ =
+      receives_updates_ && (caught_up_ || settings_.stale_first_list);
+  if (waiting_for_updates_) return;
   WatchFor(caught_up_ ? settings_.watch_wait : kShortestWait);
 }
 
 // Beyond the history the store could only say that it is gone.
 void KindMirror::ReadNow() {
-  const bool history_gone = MonotonicNow() - known_at_ > settings_.history;
+  const bool history_gone =
+      MonotonicNow() - up_to_date_at_ > settings_.history_retention;
   if (settings_.on_demand && history_gone) return List();
-  read_now_ = true;
-  parked_ = false;
+  immediate_read_ = true;
+  waiting_for_updates_ = false;
   WatchFor(kShortestWait);
 }
 
@@ -229,12 +234,12 @@
   if (stopped_) return;
   call_began_ = MonotonicNow();
   watching_ = true;
-  const Duration grace = settings_.large ? kLargeAnswer : kWatchGrace;
+  const Duration grace = settings_.large_kind ? kLargeAnswer : kWatchGrace;
   store_.Call(platform::WatchRequest{.kind = settings_.kind,
                                      .after = revision_,
                                      .wait_until = call_began_ + wait,
                                      .give_up_at = call_began_ + wait + grace},
-              kNever, Current(&KindMirror::OnWatched));
+              kNever, IfCurrent(&KindMirror::OnWatched));
 }
 
 void KindMirror::OnWatched(StoreAnswer&& answer) {
@@ -248,12 +253,12 @@
     // A call that does not wait: it is answered at once when the store is back.
     // A list where that is cheap: what changed meanwhile may be more than the
     // store's history holds.
-    const bool go_on = settings_.large && revision_ != 0;
+    const bool go_on = settings_.large_kind && revision_ != 0;
     return Retry(go_on ? &KindMirror::ReadNow : &KindMirror::List, answer);
   }
   failures_ = 0;
   following_ = true;
-  known_at_ = call_began_;
+  up_to_date_at_ = call_began_;
   if (!answer.objects.empty()) {
     LogInfo("mirror_read", {{"kind", settings_.kind},
                             {"after", revision_},
@@ -261,38 +266,38 @@
                             {"objects", answer.objects.size()},
                             {"last", answer.objects.back().version}});
   }
-  StoreNews news{.kind = settings_.kind,
-                 .after = revision_,
-                 .digest_before = digest_.value(),
-                 .as_of = std::max(revision_, answer.revision)};
+  StoreUpdate news{.kind = settings_.kind,
+                   .after = revision_,
+                   .digest_before = digest_.value(),
+                   .as_of = std::max(revision_, answer.revision)};
   for (const platform::StoredObject& object : answer.objects) {
     news.as_of = std::max(news.as_of, object.version);
   }
-  if (handlers_.news) {
+  if (handlers_.update_read) {
     news.objects = answer.objects;
-    handlers_.news(news);
+    handlers_.update_read(news);
   }
   revision_ = news.as_of;
   for (platform::StoredObject& object : answer.objects) {
     newest_change_ = std::max(newest_change_, object.version);
-    Change(std::move(object));
+    ApplyChange(std::move(object));
   }
   // A part of what has changed: resting now would let this mirror fall further
   // behind with each answer, and what was read is not all there is.
   if (answer.more) return Watch();
   caught_up_ = true;
-  if (handlers_.read) handlers_.read(call_began_);
+  if (handlers_.read_completed) handlers_.read_completed(call_began_);
   // One who reads now again and again would leave a watch behind each time,
   // which the next change ends: two calls for one.
-  const bool rest = !answer.objects.empty() || read_now_;
+  const bool rest = !answer.objects.empty() || immediate_read_;
   if (!rest || settings_.pause.count() == 0) return Watch();
-  Rest();
+  Pause();
 }
 
-void KindMirror::Rest() {
+void KindMirror::Pause() {
   pausing_ = true;
-  After(settings_.pause,
-        settings_.on_demand ? &KindMirror::ReadNow : &KindMirror::Watch);
+  ScheduleAfter(settings_.pause, settings_.on_demand ? &KindMirror::ReadNow
+                                                     : &KindMirror::Watch);
 }
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/store/kind_mirror.h
+++ b/libs/gateway/src/store/kind_mirror.h
@@ -11,7 +11,7 @@
 #include "base/time.h"
 #include "platform/store_answer.h"
 #include "store/kind_digest.h"
-#include "store/store_news.h"
+#include "store/store_update.h"
 
 namespace knapweedstile::gateway {
 
@@ -30,21 +30,21 @@
   // Objects of the kind take megabytes together, which small VMs read for
   // seconds: an answer that takes long is not taken for a store that is away,
   // and what is known is not listed again as long as a watch can go on from it.
-  bool large = false;
+  bool large_kind = false;
   // No watch waits: what has changed is read when it is asked for, and after
   // each pause.
   bool on_demand = false;
   // How long the store keeps what has changed.
-  std::chrono::milliseconds history{20000};
+  std::chrono::milliseconds history_retention{20000};
   // Many pages: the first list may be old, and a read of what has changed since
   // follows it.
-  bool stale_start = false;
+  bool stale_first_list = false;
   // Such a list is followed by a pause first: it is good enough for as long.
-  bool rest_after_stale = false;
+  bool pause_after_stale_list = false;
   // Whether this mirror finds out that a lost store is back. The others are
   // told and ask seldom by themselves, or an outage would cost each entry
   // several calls a second.
-  bool probes = false;
+  bool probes_lost_store = false;
 };
 
 // Follows all objects of one kind: a list, then watches from its revision.
@@ -60,9 +60,9 @@
     std::function<void(std::vector<platform::StoredObject>&&)> listed;
     std::function<void(platform::StoredObject&&)> changed;
     // What a watch has brought, also when that is nothing; before `changed`.
-    std::function<void(const StoreNews&)> news;
+    std::function<void(const StoreUpdate&)> update_read;
     // A read that began at `began` has brought everything up to then.
-    std::function<void(TimePoint began)> read;
+    std::function<void(TimePoint began)> read_completed;
   };
 
   KindMirror(boost::asio::io_context& io, StoreCalls& store,
@@ -72,12 +72,12 @@
   // Makes no call from now on and drops the answers of those in flight.
   void Stop();
   // Ends a pause: what has changed is wanted now.
-  void Poke();
+  void SkipPause();
   // Another entry has written what has not come here: a watch that has waited
   // for long has gone silent, and is made again.
   void RenewWatch();
   // Reads once more what has changed, from now on.
-  void ReadAnew();
+  void ReadAgain();
   // Calls that were made while the store was silent may never be answered, so
   // one in flight is given up and a list made.
   void OnStoreRegained();
@@ -87,10 +87,10 @@
 
   // Whether other entries pass on what they read: no watch waits here
   // meanwhile.
-  void SetFed(bool fed);
+  void SetReceivesUpdates(bool fed);
   // What another entry has read. Where something is missing before it, the
   // store is read once.
-  void OnNews(StoreNews&& news);
+  void OnStoreUpdate(StoreUpdate&& news);
 
   // Whether a list was ever read.
   bool listed() const noexcept { return revision_ != 0; }
@@ -111,16 +111,16 @@
   // A watch that does not wait: it is answered though nothing has changed.
   void ReadNow();
   void WatchFor(Duration wait);
-  void Change(platform::StoredObject&& object);
+  void ApplyChange(platform::StoredObject&& object);
   // Until the pause is over or ended.
-  void Rest();
+  void Pause();
   void OnWatched(platform::StoreAnswer&& answer);
   // Whether the answer belongs to a call that Refresh() has overtaken.
-  auto Current(void (KindMirror::*handler)(platform::StoreAnswer&&));
+  auto IfCurrent(void (KindMirror::*handler)(platform::StoreAnswer&&));
   // Whether the news say all that has happened since what is known here.
-  bool Continues(const StoreNews& news) const;
+  bool IsContiguous(const StoreUpdate& news) const;
   void EndPause();
-  void After(Duration pause, void (KindMirror::*next)());
+  void ScheduleAfter(Duration pause, void (KindMirror::*next)());
   void Retry(void (KindMirror::*next)(), const platform::StoreAnswer& answer);
 
   StoreCalls& store_;
@@ -135,16 +135,17 @@
   bool retrying_ = false;  // waits to ask again after a failed call
   uint64_t pause_number_ = 0;
   TimePoint call_began_{};
-  TimePoint known_at_{};  // all that had changed by then is known
+  TimePoint up_to_date_at_{};  // all that had changed by then is known
   TimePoint refreshed_at_{};
   bool following_ = false;
   bool caught_up_ = false;
   bool watching_ = false;
   bool listing_ = false;
   bool stopped_ = false;
-  bool fed_ = false;
-  bool parked_ = false;    // makes no call until there are news or a reason
-  bool read_now_ = false;  // the watch in flight does not wait
+  bool receives_updates_ = false;
+  bool waiting_for_updates_ =
+      false;  // makes no call until there are news or a reason
+  bool immediate_read_ = false;  // the watch in flight does not wait
   uint32_t failures_ = 0;
 };
 
--- a/libs/gateway/src/store/lag_detector.h
+++ b/libs/gateway/src/store/lag_detector.h
@@ -23,8 +23,10 @@
   }
   // Whether others know a newer version, however lately they have advertised of
   // it.
-  bool Ahead(uint64_t own) const noexcept { return newest_advertised_ > own; }
-  bool Lagging(uint64_t own, TimePoint now) const {
+  bool PeersAhead(uint64_t own) const noexcept {
+    return newest_advertised_ > own;
+  }
+  bool IsLagging(uint64_t own, TimePoint now) const {
     return newest_advertised_ > own && now - ahead_since_ >= kUsualDelay;
   }
 
--- a/libs/gateway/src/store/record_collector.cc
+++ b/libs/gateway/src/store/record_collector.cc
@@ -26,63 +26,64 @@
     Settings settings, std::function<bool(const std::string&)> collects)
     : store_(store),
       kinds_(kinds),
-      book_(book),
+      jobs_(book),
       settings_(settings),
-      collects_(std::move(collects)) {}
+      collects_job_(std::move(collects)) {}
 
 void RecordCollector::Run(TimePoint now) {
-  if (now >= next_search_ && names_.empty()) {
-    next_search_ = now + kSearchPause;
+  if (now >= next_search_at_ && pending_deletes_.empty()) {
+    next_search_at_ = now + kSearchPause;
     FindExpired(now);
     FindOrphans(now);
   }
-  if (!in_flight_ && !names_.empty() && store_.available()) DeleteNext();
+  if (!in_flight_ && !pending_deletes_.empty() && store_.available())
+    DeleteNext();
 }
 
 void RecordCollector::FindExpired(TimePoint now) {
   std::vector<std::string> expired;
-  for (const auto& [id, job] : book_.jobs()) {
-    if (!job.open() && job.received_at + settings_.keep <= now) {
+  for (const auto& [id, job] : jobs_.jobs()) {
+    if (!job.open() && job.received_at + settings_.retention <= now) {
       expired.push_back(id);
     }
   }
   for (const std::string& id : expired) {
-    const serving::BatchJob& job = *book_.Find(id);
-    if (collects_(id)) {
+    const serving::BatchJob& job = *jobs_.Find(id);
+    if (collects_job_(id)) {
       LogInfo("job_collected", {{"job", id}, {"results", job.results.size()}});
-      names_.push_back(JobName(id));
+      pending_deletes_.push_back(JobName(id));
       for (uint32_t number = 0; number < job.segments; ++number) {
-        names_.push_back(SegmentName(id, number));
+        pending_deletes_.push_back(SegmentName(id, number));
       }
-      if (job.ended) names_.push_back(EndName(id));
-      book_.RemoveJob(id);
+      if (job.ended) pending_deletes_.push_back(EndName(id));
+      jobs_.RemoveJob(id);
     }
   }
 }
 
 void RecordCollector::FindOrphans(TimePoint now) {
-  const std::map<std::string, std::vector<uint32_t>> found = book_.Orphans();
-  std::erase_if(orphans_, [&](const auto& known) {
+  const std::map<std::string, std::vector<uint32_t>> found = jobs_.Orphans();
+  std::erase_if(orphaned_since_, [&](const auto& known) {
     return !found.contains(known.first);
   });
   for (const auto& [id, segments] : found) {
-    const TimePoint since = orphans_.try_emplace(id, now).first->second;
-    if (now - since < kOrphanPatience || !collects_(id)) continue;
+    const TimePoint since = orphaned_since_.try_emplace(id, now).first->second;
+    if (now - since < kOrphanPatience || !collects_job_(id)) continue;
     for (const uint32_t number : segments) {
-      names_.push_back(SegmentName(id, number));
+      pending_deletes_.push_back(SegmentName(id, number));
     }
-    names_.push_back(EndName(id));
-    book_.RemoveJob(id);
+    pending_deletes_.push_back(EndName(id));
+    jobs_.RemoveJob(id);
   }
 }
 
 void RecordCollector::DeleteNext() {
   in_flight_ = true;
-  const std::string name = names_.front();
-  names_.pop_front();
+  const std::string name = pending_deletes_.front();
+  pending_deletes_.pop_front();
   store_.Call(
-      platform::DeleteRequest{.kind = kinds_.Of(ParseRecordName(name).id),
-                              .name = name},
+      platform::DeleteRequest{
+          .kind = kinds_.KindOfJob(ParseRecordName(name).id), .name = name},
       MonotonicNow() + kDeleteTimeout,
       [this, name](platform::StoreAnswer&& answer) {
         OnDeleted(name, answer);
@@ -95,7 +96,7 @@
   const bool gone = answer.outcome == platform::StoreOutcome::kOk ||
                     answer.outcome == platform::StoreOutcome::kNotFound;
   // In its place, so that the job's own record still goes first.
-  if (!gone) names_.push_front(name);
+  if (!gone) pending_deletes_.push_front(name);
 }
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/store/record_collector.h
+++ b/libs/gateway/src/store/record_collector.h
@@ -26,7 +26,7 @@
  public:
   struct Settings {
     // Since the entry learned of the job; a job that is open is kept.
-    std::chrono::milliseconds keep{0};
+    std::chrono::milliseconds retention{0};
   };
 
   RecordCollector(StoreCalls& store, const RecordKinds& kinds,
@@ -43,13 +43,14 @@
 
   StoreCalls& store_;
   const RecordKinds& kinds_;
-  serving::JobTable& book_;
+  serving::JobTable& jobs_;
   Settings settings_;
-  std::function<bool(const std::string&)> collects_;
-  TimePoint next_search_{};
-  std::deque<std::string> names_;  // records to be deleted, in order
+  std::function<bool(const std::string&)> collects_job_;
+  TimePoint next_search_at_{};
+  std::deque<std::string> pending_deletes_;  // records to be deleted, in order
   bool in_flight_ = false;
-  std::map<std::string, TimePoint> orphans_;  // jobs that are missing, since
+  std::map<std::string, TimePoint>
+      orphaned_since_;  // jobs that are missing, since
 };
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/store/record_mirrors.cc
+++ b/libs/gateway/src/store/record_mirrors.cc
@@ -28,38 +28,39 @@
 
 void RecordMirrors::Follow(const std::vector<std::string>& kinds) {
   following_ = true;
-  const bool divided = kinds != std::vector<std::string>{kOwnKind};
-  for (auto at = followed_.begin(); at != followed_.end();) {
+  const bool divided = kinds != std::vector<std::string>{kRecordKind};
+  for (auto at = mirrors_.begin(); at != mirrors_.end();) {
     if (std::find(kinds.begin(), kinds.end(), at->first) != kinds.end()) {
       ++at;
       continue;
     }
     at->second.mirror->Stop();
-    stopped_.push_back(std::move(at->second.mirror));
-    at = followed_.erase(at);
+    stopped_mirrors_.push_back(std::move(at->second.mirror));
+    at = mirrors_.erase(at);
   }
   for (const std::string& kind : kinds) {
-    const auto [followed, is_new] = followed_.try_emplace(kind);
+    const auto [followed, is_new] = mirrors_.try_emplace(kind);
     if (!is_new) continue;
     followed->second.mirror = std::make_unique<KindMirror>(
         io_, store_,
         MirrorSettings{.kind = kind,
                        .pause = divided ? kPause : history_ / kReadsInHistory,
-                       .large = true,
+                       .large_kind = true,
                        .on_demand = true,
-                       .history = history_},
-        KindMirror::Handlers{
-            .listed = handlers_.listed,
-            .changed = handlers_.changed,
-            .read = [this, kind](TimePoint began) { OnRead(kind, began); }});
+                       .history_retention = history_},
+        KindMirror::Handlers{.listed = handlers_.listed,
+                             .changed = handlers_.changed,
+                             .read_completed = [this, kind](TimePoint began) {
+                               OnRead(kind, began);
+                             }});
     followed->second.mirror->Start();
   }
-  if (followed_.empty()) ReportRead();
+  if (mirrors_.empty()) ReportRead();
 }
 
 void RecordMirrors::OnRead(const std::string& kind, TimePoint began) {
-  const auto followed = followed_.find(kind);
-  if (followed == followed_.end()) return;
+  const auto followed = mirrors_.find(kind);
+  if (followed == mirrors_.end()) return;
   followed->second.read_began = std::max(followed->second.read_began, began);
   ReportRead();
 }
@@ -67,33 +68,33 @@
 // Without any kind there is nothing to know.
 void RecordMirrors::ReportRead() {
   TimePoint began = MonotonicNow();
-  for (const auto& [kind, followed] : followed_) {
+  for (const auto& [kind, followed] : mirrors_) {
     began = std::min(began, followed.read_began);
   }
-  if (began != TimePoint{}) handlers_.read(began);
+  if (began != TimePoint{}) handlers_.read_completed(began);
 }
 
-void RecordMirrors::Poke() {
-  if (followed_.empty()) return ReportRead();
-  for (auto& [kind, followed] : followed_) followed.mirror->Poke();
+void RecordMirrors::SkipPause() {
+  if (mirrors_.empty()) return ReportRead();
+  for (auto& [kind, followed] : mirrors_) followed.mirror->SkipPause();
 }
 
 void RecordMirrors::RenewWatch() {
-  for (auto& [kind, followed] : followed_) followed.mirror->RenewWatch();
+  for (auto& [kind, followed] : mirrors_) followed.mirror->RenewWatch();
 }
 
-void RecordMirrors::ReadAnew() {
-  if (followed_.empty()) return ReportRead();
-  for (auto& [kind, followed] : followed_) followed.mirror->ReadAnew();
+void RecordMirrors::ReadAgain() {
+  if (mirrors_.empty()) return ReportRead();
+  for (auto& [kind, followed] : mirrors_) followed.mirror->ReadAgain();
 }
 
 void RecordMirrors::OnStoreRegained() {
-  for (auto& [kind, followed] : followed_) followed.mirror->OnStoreRegained();
+  for (auto& [kind, followed] : mirrors_) followed.mirror->OnStoreRegained();
 }
 
 bool RecordMirrors::caught_up() const {
   return following_ &&
-         std::all_of(followed_.begin(), followed_.end(), [](const auto& f) {
+         std::all_of(mirrors_.begin(), mirrors_.end(), [](const auto& f) {
            return f.second.mirror->caught_up();
          });
 }
--- a/libs/gateway/src/store/record_mirrors.h
+++ b/libs/gateway/src/store/record_mirrors.h
@@ -24,7 +24,7 @@
     std::function<void(std::vector<platform::StoredObject>&&)> listed;
     std::function<void(platform::StoredObject&&)> changed;
     // What existed at `began` is known, of all kinds.
-    std::function<void(TimePoint began)> read;
+    std::function<void(TimePoint began)> read_completed;
   };
 
   RecordMirrors(boost::asio::io_context& io, StoreCalls& store,
@@ -33,9 +33,9 @@
   // From now on exactly these; the others' answers are dropped.
   void Follow(const std::vector<std::string>& kinds);
   // Each does what KindMirror's command of that name does, for all kinds.
-  void Poke();
+  void SkipPause();
   void RenewWatch();
-  void ReadAnew();
+  void ReadAgain();
   void OnStoreRegained();
 
   // Whether kinds were ever named, and all of them are caught up with.
@@ -55,9 +55,9 @@
   std::chrono::milliseconds history_;
   Handlers handlers_;
   bool following_ = false;
-  std::map<std::string, Followed> followed_;  // by kind
+  std::map<std::string, Followed> mirrors_;  // by kind
   // Calls in flight refer to their mirrors.
-  std::vector<std::unique_ptr<KindMirror>> stopped_;
+  std::vector<std::unique_ptr<KindMirror>> stopped_mirrors_;
 };
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/store/store_calls.cc
+++ b/libs/gateway/src/store/store_calls.cc
@@ -22,8 +22,8 @@
   client_.Call({.token = token, .call = std::move(call), .deadline = deadline});
 }
 
-void StoreCalls::CallAnyWay(platform::StoreCall&& call, TimePoint deadline,
-                            Callback callback) {
+void StoreCalls::CallDirectOrRelayed(platform::StoreCall&& call,
+                                     TimePoint deadline, Callback callback) {
   const bool relayed =
       !available_ && relay_ && relay_->usable() && StoreRelay::MayRelay(call);
   if (!relayed) return Call(std::move(call), deadline, std::move(callback));
@@ -44,11 +44,11 @@
 
 void StoreCalls::OnAnswer(StoreAnswer&& answer) {
   auto found = callbacks_.extract(answer.token);
-  Learn(answer);
+  UpdateAvailability(answer);
   if (!found.empty()) found.mapped()(std::move(answer));
 }
 
-void StoreCalls::Learn(const StoreAnswer& answer) {
+void StoreCalls::UpdateAvailability(const StoreAnswer& answer) {
   const bool failed = answer.outcome == StoreOutcome::kNotSent ||
                       answer.outcome == StoreOutcome::kUnknown ||
                       answer.outcome == StoreOutcome::kThrottled;
@@ -60,7 +60,7 @@
   } else {
     available_since_ = MonotonicNow();
     LogInfo("store_regained");
-    if (regained_) regained_();
+    if (regained_handler_) regained_handler_();
   }
 }
 
--- a/libs/gateway/src/store/store_calls.h
+++ b/libs/gateway/src/store/store_calls.h
@@ -27,8 +27,8 @@
 
   void Call(platform::StoreCall&& call, TimePoint deadline, Callback callback);
   // As Call(), but through another entry while the store does not answer here.
-  void CallAnyWay(platform::StoreCall&& call, TimePoint deadline,
-                  Callback callback);
+  void CallDirectOrRelayed(platform::StoreCall&& call, TimePoint deadline,
+                           Callback callback);
   void SetRelay(StoreRelay* relay) noexcept { relay_ = relay; }
   void WriteStatus(const std::string& kind, const std::string& name,
                    uint64_t if_version, const std::string& value,
@@ -36,7 +36,7 @@
 
   // Called when the store answers again after it was lost.
   void SetRegainedHandler(std::function<void()> handler) {
-    regained_ = std::move(handler);
+    regained_handler_ = std::move(handler);
   }
 
   // Whether calls get through, here or through another entry.
@@ -49,13 +49,13 @@
 
  private:
   void OnAnswer(platform::StoreAnswer&& answer);
-  void Learn(const platform::StoreAnswer& answer);
+  void UpdateAvailability(const platform::StoreAnswer& answer);
 
   std::unordered_map<uint64_t, Callback> callbacks_;
   uint64_t last_token_ = 0;
   bool available_ = true;
   TimePoint available_since_{};
-  std::function<void()> regained_;
+  std::function<void()> regained_handler_;
   StoreRelay* relay_ = nullptr;
   users_platform::StoreClient client_;
 };
--- a/libs/gateway/src/store/store_follower.cc
+++ b/libs/gateway/src/store/store_follower.cc
@@ -58,77 +58,84 @@
 
 StoreFollower::StoreFollower(boost::asio::io_context& io,
                              const GatewaySettings& settings, StoreCalls& store,
-                             const PeerLink& peers, Ports ports)
+                             const PeerLink& peers, Callbacks ports)
     : own_name_(settings.name),
       store_(store),
       peers_(peers),
-      ports_(std::move(ports)),
-      news_(io, [this](StoreNews&& news) { OnNews(std::move(news)); }),
-      configuration_(io, store,
-                     {.kind = users_platform::kConfigurationKind,
-                      .watch_wait = kConfigurationWatchWait,
-                      .probes = true},
-                     {.listed =
-                          [this](std::vector<StoredObject>&& objects) {
-                            for (const auto& object : objects) {
-                              ports_.configuration(object);
-                            }
-                          },
-                      .changed =
-                          [this](StoredObject&& object) {
-                            if (!object.deleted) ports_.configuration(object);
-                          },
-                      .news = [this](const StoreNews& news) { PassOn(news); }}),
+      callbacks_(std::move(ports)),
+      update_link_(
+          io, [this](StoreUpdate&& news) { OnStoreUpdate(std::move(news)); }),
+      configuration_(
+          io, store,
+          {.kind = users_platform::kConfigurationKind,
+           .watch_wait = kConfigurationWatchWait,
+           .probes_lost_store = true},
+          {.listed =
+               [this](std::vector<StoredObject>&& objects) {
+                 for (const auto& object : objects) {
+                   callbacks_.configuration_read(object);
+                 }
+               },
+           .changed =
+               [this](StoredObject&& object) {
+                 if (!object.deleted) callbacks_.configuration_read(object);
+               },
+           .update_read =
+               [this](const StoreUpdate& news) { ForwardToCell(news); }}),
       servers_(io, store,
                {.kind = users_platform::kServerKind,
                 .watch_wait = ServerWatchWait(settings.server_heartbeat),
                 .pause = kServerPause,
-                .stale_start = true},
+                .stale_first_list = true},
                {.listed =
                     [this](std::vector<StoredObject>&& objects) {
-                      ports_.servers_listed(std::move(objects));
+                      callbacks_.servers_listed(std::move(objects));
                     },
                 .changed =
                     [this](StoredObject&& object) {
-                      ports_.server_changed(std::move(object));
+                      callbacks_.server_changed(std::move(object));
                     },
-                .news = [this](const StoreNews& news) { PassOn(news); }}),
+                .update_read =
+                    [this](const StoreUpdate& news) { ForwardToCell(news); }}),
       objects_(io, store,
-               {.kind = kOperatorObjects, .watch_wait = kObjectWatchWait},
+               {.kind = kOperatorObjectsKind, .watch_wait = kObjectWatchWait},
                {.listed =
                     [this](std::vector<StoredObject>&& objects) {
-                      ports_.objects_listed(std::move(objects));
+                      callbacks_.objects_listed(std::move(objects));
                     },
                 .changed =
                     [this](StoredObject&& object) {
-                      ports_.object_changed(std::move(object));
+                      callbacks_.object_changed(std::move(object));
                     },
-                .news = [this](const StoreNews& news) { PassOn(news); }}),
+                .update_read =
+                    [this](const StoreUpdate& news) { ForwardToCell(news); }}),
       members_(io, store,
                {.kind = kMemberKind,
                 .watch_wait = kObjectWatchWait,
                 .pause = kMemberPause,
-                .stale_start = true,
-                .rest_after_stale = true,
-                .probes = true},
+                .stale_first_list = true,
+                .pause_after_stale_list = true,
+                .probes_lost_store = true},
                {.listed =
                     [this](std::vector<StoredObject>&& objects) {
-                      ports_.members_listed(std::move(objects));
-                      StartOthers();
+                      callbacks_.members_listed(std::move(objects));
+                      StartMirrors();
                     },
                 .changed =
                     [this](StoredObject&& object) {
-                      ports_.member_changed(std::move(object));
+                      callbacks_.member_changed(std::move(object));
                     },
-                .news = [this](const StoreNews& news) { PassOn(news); }}) {}
+                .update_read =
+                    [this](const StoreUpdate& news) { ForwardToCell(news); }}) {
+}
 
 // Who is there says whether this gateway follows the store by itself.
 void StoreFollower::Start() {
-  start_others_at_ = MonotonicNow() + kDirectoryPatience;
+  start_mirrors_at_ = MonotonicNow() + kDirectoryPatience;
   members_.Start();
 }
 
-void StoreFollower::StartOthers() {
+void StoreFollower::StartMirrors() {
   if (std::exchange(started_, true)) return;
   UpdateReaders(MonotonicNow());
   configuration_.Start();
@@ -143,16 +150,17 @@
   members_.OnStoreRegained();
 }
 
-void StoreFollower::OnNewsRequest(const http::RequestEvent& request) {
-  news_.OnRequest(request);
+void StoreFollower::OnStoreUpdateRequest(const http::RequestEvent& request) {
+  update_link_.OnRequest(request);
 }
 
 void StoreFollower::OnPeerState(const PeerState& state, TimePoint now) {
   if (state.store_regained_millis_ago != 0) {
     const auto ago = std::chrono::milliseconds(state.store_regained_millis_ago);
-    others_regained_at_ = std::max(others_regained_at_, now - ago);
+    peer_regained_at_ = std::max(peer_regained_at_, now - ago);
   }
-  configuration_lag_.OnAdvertised(state.configuration, ports_.version(), now);
+  configuration_lag_.OnAdvertised(state.configuration,
+                                  callbacks_.configuration_version(), now);
   server_lag_.OnAdvertised(state.servers_revision, servers_.newest_change(),
                            now);
   member_lag_.OnAdvertised(state.members_revision, members_.newest_change(),
@@ -162,7 +170,7 @@
 void StoreFollower::SetCell(const serving::Cell& cell, size_t readers,
                             TimePoint now) {
   cell_ = cell;
-  most_readers_ = readers;
+  max_readers_ = readers;
   UpdateReaders(now);
 }
 
@@ -176,10 +184,10 @@
 // so or is silent; whoever takes its place reads at once, and whoever has lost
 // the store itself looks for it again as if it were alone.
 void StoreFollower::UpdateReaders(TimePoint now) {
-  std::vector<std::string> sound = peers_.SoundEntriesIn(cell_, now);
+  std::vector<std::string> sound = peers_.HealthyPeersIn(cell_, now);
   if (store_.available() && !stopping_) sound.push_back(own_name_);
   std::vector<std::string> readers =
-      ChooseReaders(std::move(sound), most_readers_, ports_.cores);
+      ChooseReaders(std::move(sound), max_readers_, callbacks_.cores);
   if (readers != readers_) {
     LogInfo(
         "store_readers",
@@ -189,30 +197,31 @@
     readers_ = std::move(readers);
   }
   const bool fed = !readers_.empty() && !IsReader() && store_.available();
-  const bool rests = now < rest_until_ && store_.available();
-  configuration_.SetFed(fed || rests);
-  servers_.SetFed(fed || rests);
-  objects_.SetFed(fed || rests);
-  members_.SetFed(fed);
+  const bool rests = now < wait_for_readers_until_ && store_.available();
+  configuration_.SetReceivesUpdates(fed || rests);
+  servers_.SetReceivesUpdates(fed || rests);
+  objects_.SetReceivesUpdates(fed || rests);
+  members_.SetReceivesUpdates(fed);
 }
 
-void StoreFollower::PassOn(const StoreNews& news) {
-  if (IsReader()) news_.Send(peers_.AddressesIn(cell_), news);
+void StoreFollower::ForwardToCell(const StoreUpdate& news) {
+  if (IsReader()) update_link_.Send(peers_.AddressesIn(cell_), news);
 }
 
-void StoreFollower::OnNews(StoreNews&& news) {
+void StoreFollower::OnStoreUpdate(StoreUpdate&& news) {
   if (news.kind == users_platform::kConfigurationKind) {
-    return configuration_.OnNews(std::move(news));
+    return configuration_.OnStoreUpdate(std::move(news));
   }
   if (news.kind == users_platform::kServerKind) {
-    return servers_.OnNews(std::move(news));
+    return servers_.OnStoreUpdate(std::move(news));
   }
-  if (news.kind == kMemberKind) return members_.OnNews(std::move(news));
-  if (news.kind == kOperatorObjects) objects_.OnNews(std::move(news));
+  if (news.kind == kMemberKind) return members_.OnStoreUpdate(std::move(news));
+  if (news.kind == kOperatorObjectsKind)
+    objects_.OnStoreUpdate(std::move(news));
 }
 
 TimePoint StoreFollower::regained_at() const {
-  return std::max(store_.available_since(), others_regained_at_);
+  return std::max(store_.available_since(), peer_regained_at_);
 }
 
 // Failure guarded against: a gateway that the store turns away goes on with the
@@ -223,38 +232,41 @@
   if (!store_.reachable()) return;
   if (now - read_configuration_at_ < kConfigurationReadPause) return;
   read_configuration_at_ = now;
-  store_.CallAnyWay(
+  store_.CallDirectOrRelayed(
       platform::ReadRequest{.kind = users_platform::kConfigurationKind,
                             .name = users_platform::kConfigurationName},
       now + kConfigurationReadTimeout, [this](platform::StoreAnswer&& answer) {
         if (answer.outcome != platform::StoreOutcome::kOk) return;
-        for (const auto& object : answer.objects) ports_.configuration(object);
+        for (const auto& object : answer.objects)
+          callbacks_.configuration_read(object);
       });
 }
 
 void StoreFollower::Run(TimePoint now) {
-  if (now >= start_others_at_) StartOthers();
+  if (now >= start_mirrors_at_) StartMirrors();
   UpdateReaders(now);
-  NoticeConfigurationAge(now);
-  if (configuration_lag_.Lagging(ports_.version(), now)) ReadConfiguration(now);
-  if (server_lag_.Lagging(servers_.newest_change(), now)) servers_.Refresh();
-  if (member_lag_.Lagging(members_.newest_change(), now)) members_.Refresh();
+  UpdateConfigurationAge(now);
+  if (configuration_lag_.IsLagging(callbacks_.configuration_version(), now))
+    ReadConfiguration(now);
+  if (server_lag_.IsLagging(servers_.newest_change(), now)) servers_.Refresh();
+  if (member_lag_.IsLagging(members_.newest_change(), now)) members_.Refresh();
 }
 
 Duration StoreFollower::ConfigurationAge(TimePoint now) const {
-  if (ports_.version() == 0) return kNever - TimePoint{};
-  return Remaining(now, configuration_known_at_);
+  if (callbacks_.configuration_version() == 0) return kNever - TimePoint{};
+  return Remaining(now, configuration_stale_since_);
 }
 
 // What is known is the present state while the store answers and no other entry
 // is ahead.
-void StoreFollower::NoticeConfigurationAge(TimePoint now) {
-  const bool present = store_.available() && configuration_.following() &&
-                       !configuration_lag_.Ahead(ports_.version());
+void StoreFollower::UpdateConfigurationAge(TimePoint now) {
+  const bool present =
+      store_.available() && configuration_.following() &&
+      !configuration_lag_.PeersAhead(callbacks_.configuration_version());
   if (present) {
-    configuration_known_at_ = kNever;
-  } else if (configuration_known_at_ == kNever) {
-    configuration_known_at_ = now;
+    configuration_stale_since_ = kNever;
+  } else if (configuration_stale_since_ == kNever) {
+    configuration_stale_since_ = now;
   }
 }
 
--- a/libs/gateway/src/store/store_relay.cc
+++ b/libs/gateway/src/store/store_relay.cc
@@ -85,8 +85,8 @@
 
 }  // namespace
 
-StoreRelay::StoreRelay(boost::asio::io_context& io, Ports ports)
-    : ports_(std::move(ports)),
+StoreRelay::StoreRelay(boost::asio::io_context& io, Callbacks ports)
+    : callbacks_(std::move(ports)),
       client_(io, PeerClientSettings(), [this](http::ClientEvent&& event) {
         OnEvent(std::move(event));
       }) {}
@@ -105,9 +105,9 @@
                       Callback callback) {
   const TimePoint now = MonotonicNow();
   const TimePoint until = std::min(deadline, now + kLongestCall);
-  const std::string address = ports_.helper();
+  const std::string address = callbacks_.peer_address();
   const ExchangeId exchange(++last_exchange_);
-  callbacks_.emplace(exchange, std::move(callback));
+  pending_calls_.emplace(exchange, std::move(callback));
   http::ClientRequest request{
       .exchange = exchange,
       .address = address,
@@ -122,7 +122,7 @@
 void StoreRelay::OnEvent(http::ClientEvent&& event) {
   const auto* end = std::get_if<http::EndEvent>(&event);
   if (!end) return;
-  auto found = callbacks_.extract(end->exchange);
+  auto found = pending_calls_.extract(end->exchange);
   if (!found.empty()) found.mapped()(AnswerOf(*end));
 }
 
@@ -135,13 +135,14 @@
     const TimePoint deadline =
         MonotonicNow() +
         std::chrono::milliseconds(object.at("budget_ms").to_number<int64_t>());
-    ports_.perform(DecodeCall(object), deadline,
-                   [this, exchange = request.exchange](StoreAnswer&& answer) {
-                     ports_.respond(exchange, EncodeAnswer(answer));
-                   });
+    callbacks_.perform(
+        DecodeCall(object), deadline,
+        [this, exchange = request.exchange](StoreAnswer&& answer) {
+          callbacks_.respond(exchange, EncodeAnswer(answer));
+        });
   } catch (const std::exception& error) {
     LogWarning("relay_call_invalid", {{"reason", error.what()}});
-    ports_.respond(request.exchange, "{}");
+    callbacks_.respond(request.exchange, "{}");
   }
 }
 
--- a/libs/gateway/src/store/store_relay.h
+++ b/libs/gateway/src/store/store_relay.h
@@ -27,9 +27,9 @@
 class StoreRelay {
  public:
   using Callback = std::function<void(platform::StoreAnswer&&)>;
-  struct Ports {
+  struct Callbacks {
     // "IP:PORT" of a live entry that reaches the store, or empty.
-    std::function<std::string()> helper;
+    std::function<std::string()> peer_address;
     // Performs a call directly, for another entry.
     std::function<void(platform::StoreCall&&, TimePoint deadline, Callback)>
         perform;
@@ -37,13 +37,13 @@
     std::function<void(ExchangeId, std::string body)> respond;
   };
 
-  StoreRelay(boost::asio::io_context& io, Ports ports);
+  StoreRelay(boost::asio::io_context& io, Callbacks ports);
 
   static bool IsRelayTarget(std::string_view target);
   static bool MayRelay(const platform::StoreCall& call);
 
   // Whether an entry is known that would pass calls on.
-  bool usable() const { return !ports_.helper().empty(); }
+  bool usable() const { return !callbacks_.peer_address().empty(); }
   // Exactly one answer follows.
   void Call(const platform::StoreCall& call, TimePoint deadline,
             Callback callback);
@@ -53,9 +53,9 @@
  private:
   void OnEvent(http::ClientEvent&& event);
 
-  Ports ports_;
+  Callbacks callbacks_;
   uint64_t last_exchange_ = 0;
-  std::unordered_map<ExchangeId, Callback> callbacks_;
+  std::unordered_map<ExchangeId, Callback> pending_calls_;
   http::Client client_;
 };
 
--- a/libs/gateway/src/store/store_news.h
+++ b/libs/gateway/src/store/store_update.h
@@ -1,5 +1,5 @@
-#ifndef KNAPWEEDSTILE_GATEWAY_STORE_STORE_NEWS_H_
-#define KNAPWEEDSTILE_GATEWAY_STORE_STORE_NEWS_H_
+#ifndef KNAPWEEDSTILE_GATEWAY_STORE_STORE_UPDATE_H_
+#define KNAPWEEDSTILE_GATEWAY_STORE_STORE_UPDATE_H_
 
 #include <cstdint>
 #include <string>
@@ -10,7 +10,7 @@
 namespace knapweedstile::gateway {
 
 // What one read of the store has brought, as one entry passes it to others.
-struct StoreNews {
+struct StoreUpdate {
   std::string kind;
   uint64_t after = 0;  // revision that the read went on from
   // Of what there was at `after`: who has the same lacks nothing before it.
@@ -21,4 +21,4 @@
 
 }  // namespace knapweedstile::gateway
 
-#endif  // KNAPWEEDSTILE_GATEWAY_STORE_STORE_NEWS_H_
+#endif  // KNAPWEEDSTILE_GATEWAY_STORE_STORE_UPDATE_H_
--- a/libs/gateway/src/store/news_link.cc
+++ b/libs/gateway/src/store/store_update_link.cc
@@ -1,4 +1,4 @@
-#include "store/news_link.h"
+#include "store/store_update_link.h"
 
 #include <boost/json.hpp>
 #include <utility>
@@ -20,8 +20,8 @@
 
 }  // namespace
 
-NewsLink::NewsLink(boost::asio::io_context& io,
-                   std::function<void(StoreNews&&)> received)
+StoreUpdateLink::StoreUpdateLink(boost::asio::io_context& io,
+                                 std::function<void(StoreUpdate&&)> received)
     : received_(std::move(received)),
       client_(io, PeerClientSettings(), [](http::ClientEvent&& event) {
         const auto* end = std::get_if<http::EndEvent>(&event);
@@ -30,10 +30,12 @@
                 {{"outcome", NameOf(end->outcome)}, {"reason", end->message}});
       }) {}
 
-bool NewsLink::IsTarget(std::string_view target) { return target == kTarget; }
+bool StoreUpdateLink::IsTarget(std::string_view target) {
+  return target == kTarget;
+}
 
-void NewsLink::Send(const std::vector<std::string>& addresses,
-                    const StoreNews& news) {
+void StoreUpdateLink::Send(const std::vector<std::string>& addresses,
+                           const StoreUpdate& news) {
   const std::string body =
       json::serialize(json::object{{"kind", news.kind},
                                    {"after", news.after},
@@ -52,7 +54,7 @@
   }
 }
 
-void NewsLink::OnRequest(const http::RequestEvent& request) {
+void StoreUpdateLink::OnRequest(const http::RequestEvent& request) {
   json::error_code ec;
   const json::value parsed = json::parse(request.body, ec);
   // The library reports a missing or mistyped field by an exception.
--- a/libs/gateway/src/store/news_link.h
+++ b/libs/gateway/src/store/store_update_link.h
@@ -1,5 +1,5 @@
-#ifndef KNAPWEEDSTILE_GATEWAY_STORE_NEWS_LINK_H_
-#define KNAPWEEDSTILE_GATEWAY_STORE_NEWS_LINK_H_
+#ifndef KNAPWEEDSTILE_GATEWAY_STORE_STORE_UPDATE_LINK_H_
+#define KNAPWEEDSTILE_GATEWAY_STORE_STORE_UPDATE_LINK_H_
 
 #include <boost/asio/io_context.hpp>
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 #include "http/client.h"
 #include "http/server_event.h"
-#include "store/store_news.h"
+#include "store/store_update.h"
 
 namespace knapweedstile::gateway {
 
@@ -20,21 +20,21 @@
 // the fleet, most of them watches of servers.
 // News that are lost show as a gap in the revisions, or in what other entries
 // tell of newer ones, and the store is read.
-class NewsLink {
+class StoreUpdateLink {
  public:
-  NewsLink(boost::asio::io_context& io,
-           std::function<void(StoreNews&&)> received);
+  StoreUpdateLink(boost::asio::io_context& io,
+                  std::function<void(StoreUpdate&&)> received);
 
-  void Send(const std::vector<std::string>& addresses, const StoreNews& news);
+  void Send(const std::vector<std::string>& addresses, const StoreUpdate& news);
   static bool IsTarget(std::string_view target);
   void OnRequest(const http::RequestEvent& request);
 
  private:
-  std::function<void(StoreNews&&)> received_;
+  std::function<void(StoreUpdate&&)> received_;
   uint64_t last_exchange_ = 0;
   http::Client client_;
 };
 
 }  // namespace knapweedstile::gateway
 
-#endif  // KNAPWEEDSTILE_GATEWAY_STORE_NEWS_LINK_H_
+#endif  // KNAPWEEDSTILE_GATEWAY_STORE_STORE_UPDATE_LINK_H_
--- a/libs/gateway/src/store_role.cc
+++ b/libs/gateway/src/store_role.cc
@@ -29,26 +29,26 @@
           {.kind = users_platform::kEvacuationKind, .watch_wait = kWatchWait},
           {.listed =
                [this](std::vector<platform::StoredObject>&& objects) {
-                 for (const auto& object : objects) OnRequest(object);
+                 for (const auto& object : objects) OnEvacuationRequest(object);
                },
            .changed =
                [this](platform::StoredObject&& object) {
-                 if (!object.deleted) OnRequest(object);
+                 if (!object.deleted) OnEvacuationRequest(object);
                }}) {}
 
-void StoreRole::OnRequest(const platform::StoredObject& object) {
-  if (object.name != name_ || reported_) return;
+void StoreRole::OnEvacuationRequest(const platform::StoredObject& object) {
+  if (object.name != name_ || evacuation_reported_) return;
   LogInfo("evacuation_requested", {{"revision", object.version}});
-  Report(object.version);
+  ReportEvacuation(object.version);
 }
 
-void StoreRole::Report(uint64_t version) {
+void StoreRole::ReportEvacuation(uint64_t version) {
   store_.WriteStatus(
       users_platform::kEvacuationKind, name_, version,
       users_platform::kEvacuationDone, MonotonicNow() + kReportTimeout,
       [this, version](platform::StoreAnswer&& answer) {
         if (answer.outcome == platform::StoreOutcome::kOk) {
-          reported_ = true;
+          evacuation_reported_ = true;
           return LogInfo("evacuation_reported");
         }
         LogWarning("evacuation_report_failed",
@@ -58,7 +58,7 @@
         auto timer =
             std::make_shared<boost::asio::steady_timer>(io_, kReportPause);
         timer->async_wait([this, timer, present](const auto& ec) {
-          if (!ec) Report(present);
+          if (!ec) ReportEvacuation(present);
         });
       });
 }
--- a/libs/gateway/src/store_role.h
+++ b/libs/gateway/src/store_role.h
@@ -19,14 +19,14 @@
   void Start() { mirror_.Start(); }
 
  private:
-  void OnRequest(const platform::StoredObject& object);
-  void Report(uint64_t version);
+  void OnEvacuationRequest(const platform::StoredObject& object);
+  void ReportEvacuation(uint64_t version);
 
   boost::asio::io_context& io_;
   std::string name_;
   StoreCalls store_;
   KindMirror mirror_;
-  bool reported_ = false;
+  bool evacuation_reported_ = false;
 };
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/tests/batch_runner_test.cc
+++ b/libs/gateway/tests/batch_runner_test.cc
@@ -43,20 +43,21 @@
   observe::Timeline timeline{16};
   TimePoint now = MonotonicNow();
   ServerConnections connections{io};
-  BatchRunner runner{
-      connections,
-      board,
-      book,
-      routes,
-      metrics,
-      timeline,
-      {.owns = [](const serving::BatchJob&) { return true; },
-       .entries = [] { return size_t{1}; },
-       .runs_elsewhere = [](uint64_t) { return false; },
-       .finished = [](const std::string&) {},
-       .usage_changed = [] {},
-       .outside = [](const auto&,
-                     const auto&) { return std::vector<BackendServerId>(); }}};
+  BatchRunner runner{connections,
+                     board,
+                     book,
+                     routes,
+                     metrics,
+                     timeline,
+                     {.owns = [](const serving::BatchJob&) { return true; },
+                      .gateway_count = [] { return size_t{1}; },
+                      .runs_on_peer = [](uint64_t) { return false; },
+                      .item_finished = [](const std::string&) {},
+                      .usage_changed = [] {},
+                      .excluded_servers =
+                          [](const auto&, const auto&) {
+                            return std::vector<BackendServerId>();
+                          }}};
 
   Fixture() {
     metrics.DeclareCounter("knap_items_total", "", {"state", "policy"});
--- a/libs/gateway/tests/peer_state_test.cc
+++ b/libs/gateway/tests/peer_state_test.cc
@@ -6,7 +6,7 @@
 namespace {
 
 PeerState MakeState() {
-  return {.entry = "entry-1",
+  return {.gateway = "entry-1",
           .availability_zone = "zone-a",
           .start = 1700000000123456789,
           .sequence = 7,
@@ -31,7 +31,7 @@
   const PeerState sent = MakeState();
   const auto received = DecodePeerState(EncodePeerState(sent));
   REQUIRE(received);
-  CHECK(received->entry == sent.entry);
+  CHECK(received->gateway == sent.gateway);
   CHECK(received->availability_zone == sent.availability_zone);
   CHECK(received->start == sent.start);
   CHECK(received->sequence == sent.sequence);
@@ -60,7 +60,7 @@
   for (size_t size = 0; size < whole.size(); ++size) {
     const auto cut = DecodePeerState(whole.substr(0, size));
     // Protobuf has no end mark: a cut between two fields is a shorter message.
-    if (cut) CHECK(cut->entry == "entry-1");
+    if (cut) CHECK(cut->gateway == "entry-1");
   }
   CHECK_FALSE(DecodePeerState(""));
   CHECK_FALSE(DecodePeerState("{\"entry\":\"entry-1\"}"));
@@ -68,23 +68,23 @@
 }
 
 TEST_CASE("what an entry has admitted of workspaces arrives") {
-  PeerState state{.entry = "entry-1"};
+  PeerState state{.gateway = "entry-1"};
   state.rate.uptime = std::chrono::milliseconds(4200);
-  state.rate.entries = 23;
+  state.rate.fleet_size = 23;
   state.rate.admitted = {{7, {5, 9, 13, 20, 24}}, {9, {0, 0, 0, 0, 1}}};
-  state.rate.former = {{3, 7, 12}};
+  state.rate.previous_processes = {{3, 7, 12}};
   state.rate.unreachable = {11};
   const auto read = DecodePeerState(EncodePeerState(state));
   REQUIRE(read);
   CHECK(read->rate.uptime == state.rate.uptime);
-  CHECK(read->rate.entries == 23);
+  CHECK(read->rate.fleet_size == 23);
   REQUIRE(read->rate.admitted.size() == 2);
   CHECK(read->rate.admitted[0].workspace == 7);
   CHECK(read->rate.admitted[0].in_spans == state.rate.admitted[0].in_spans);
   CHECK(read->rate.admitted[1].in_window() == 1);
-  REQUIRE(read->rate.former.size() == 1);
-  CHECK(read->rate.former[0].entry == 3);
-  CHECK(read->rate.former[0].in_window == 12);
+  REQUIRE(read->rate.previous_processes.size() == 1);
+  CHECK(read->rate.previous_processes[0].gateway == 3);
+  CHECK(read->rate.previous_processes[0].in_window == 12);
   CHECK(read->rate.unreachable == state.rate.unreachable);
 }
 
--- a/libs/gateway/tests/record_codec_test.cc
+++ b/libs/gateway/tests/record_codec_test.cc
@@ -8,14 +8,14 @@
 TEST_CASE("records arrive as they were packed, any number in one message") {
   std::string words;
   for (int i = 0; i < 2000; ++i) words += "word " + std::to_string(i % 50);
-  const OwnRecord result{"segment.a.000001", words};
-  const OwnRecord empty{"end.a", ""};
+  const StoreRecord result{"segment.a.000001", words};
+  const StoreRecord empty{"end.a", ""};
   const std::string packed = PackRecord(result);
   CHECK(packed.size() * 2 < words.size());
   const auto pushed =
       DecodePush(EncodePush("entry-1", 7, 12, packed + PackRecord(empty)));
   REQUIRE(pushed);
-  CHECK(pushed->entry == "entry-1");
+  CHECK(pushed->gateway == "entry-1");
   CHECK(pushed->start == 7);
   CHECK(pushed->count == 12);
   REQUIRE(pushed->records.size() == 2);
--- a/libs/gateway/tests/sync_tracker_test.cc
+++ b/libs/gateway/tests/sync_tracker_test.cc
@@ -17,11 +17,11 @@
 
 TEST_CASE("records that were pushed need no call to the store") {
   SyncTracker sync;
-  sync.OnCount("entry-2", 1, 0, At(0));
-  sync.OnCount("entry-2", 1, 1, At(100));
+  sync.OnAdvertisedCount("entry-2", 1, 0, At(0));
+  sync.OnAdvertisedCount("entry-2", 1, 1, At(100));
   sync.OnReceived("entry-2", 1, 0, 1, At(105));
-  sync.OnCount("entry-2", 1, 1, At(350));
-  CHECK_FALSE(sync.MustAskStore(At(400)));
+  sync.OnAdvertisedCount("entry-2", 1, 1, At(350));
+  CHECK_FALSE(sync.NeedsStoreRead(At(400)));
 }
 
 // A caller reads a result at another entry and then asks here. The push of that
@@ -29,69 +29,69 @@
 // stays ahead, so the store is asked, and once only.
 TEST_CASE("a push that was lost makes this entry ask the store") {
   SyncTracker sync;
-  sync.OnCount("entry-2", 1, 1, At(0));
-  CHECK_FALSE(sync.MustAskStore(At(50)));
-  CHECK(sync.MustAskStore(At(200)));
+  sync.OnAdvertisedCount("entry-2", 1, 1, At(0));
+  CHECK_FALSE(sync.NeedsStoreRead(At(50)));
+  CHECK(sync.NeedsStoreRead(At(200)));
   sync.OnStoreRead(At(200), At(200));
-  CHECK_FALSE(sync.MustAskStore(At(500)));
+  CHECK_FALSE(sync.NeedsStoreRead(At(500)));
 }
 
 // The first of two pushes is lost, the second arrives. Taking the second's
 // count for everything would hide the gap for good.
 TEST_CASE("a later push does not make up for a lost one") {
   SyncTracker sync;
-  sync.OnCount("entry-2", 1, 1, At(0));
+  sync.OnAdvertisedCount("entry-2", 1, 1, At(0));
   sync.OnReceived("entry-2", 1, 1, 2, At(100));
-  CHECK(sync.MustAskStore(At(300)));
+  CHECK(sync.NeedsStoreRead(At(300)));
 }
 
 // A record is counted while the store is being read: the read may have begun
 // before it was written, so it does not count as known.
 TEST_CASE("a read covers only what was counted before it began") {
   SyncTracker sync;
-  sync.OnCount("entry-2", 1, 1, At(0));
-  sync.OnCount("entry-2", 1, 2, At(210));
+  sync.OnAdvertisedCount("entry-2", 1, 1, At(0));
+  sync.OnAdvertisedCount("entry-2", 1, 2, At(210));
   sync.OnStoreRead(At(200), At(200));
-  CHECK(sync.MustAskStore(At(500)));
+  CHECK(sync.NeedsStoreRead(At(500)));
 }
 
 // An entry is cut off from this one but still commits results that callers read
 // there. Nothing of it arrives here, not even its count.
 TEST_CASE("a silent entry makes this one ask the store again and again") {
   SyncTracker sync;
-  sync.OnCount("entry-2", 1, 0, At(0));
-  CHECK_FALSE(sync.MustAskStore(At(500)));
-  CHECK(sync.MustAskStore(At(700)));
+  sync.OnAdvertisedCount("entry-2", 1, 0, At(0));
+  CHECK_FALSE(sync.NeedsStoreRead(At(500)));
+  CHECK(sync.NeedsStoreRead(At(700)));
   sync.OnStoreRead(At(700), At(700));
-  CHECK_FALSE(sync.MustAskStore(At(800)));
-  CHECK(sync.Current(At(1000)));
+  CHECK_FALSE(sync.NeedsStoreRead(At(800)));
+  CHECK(sync.IsCurrent(At(1000)));
   // While callers ask, a read, which takes up to 250 ms at a slow store, must
   // end before the one before is too old.
-  CHECK_FALSE(sync.MustAskStore(At(1400 - 250)));
-  sync.OnWanted(At(1000));
-  CHECK(sync.MustAskStore(At(1400 - 250)));
-  CHECK(sync.Current(At(1400)));
-  CHECK_FALSE(sync.Current(At(1500)));
+  CHECK_FALSE(sync.NeedsStoreRead(At(1400 - 250)));
+  sync.OnCallerWaiting(At(1000));
+  CHECK(sync.NeedsStoreRead(At(1400 - 250)));
+  CHECK(sync.IsCurrent(At(1400)));
+  CHECK_FALSE(sync.IsCurrent(At(1500)));
   // Nobody has asked for long: ends of jobs must still be known within three
   // seconds.
   sync.OnStoreRead(At(3000), At(3000));
-  CHECK_FALSE(sync.MustAskStore(At(4400)));
-  CHECK(sync.MustAskStore(At(4500)));
+  CHECK_FALSE(sync.NeedsStoreRead(At(4400)));
+  CHECK(sync.NeedsStoreRead(At(4500)));
   // Long after, it is gone for good.
-  CHECK_FALSE(sync.MustAskStore(At(20000)));
+  CHECK_FALSE(sync.NeedsStoreRead(At(20000)));
 }
 
 // After a restart nothing was read yet: "no more results" would be a guess.
 TEST_CASE("nothing is current before the first read of the store") {
   SyncTracker sync;
-  CHECK_FALSE(sync.Current(At(0)));
+  CHECK_FALSE(sync.IsCurrent(At(0)));
   sync.OnStoreRead(At(0), At(0));
-  CHECK(sync.Current(At(10)));
-  sync.OnCount("entry-2", 1, 1, At(20));
-  CHECK(sync.Current(At(100)));
-  CHECK_FALSE(sync.Current(At(200)));
+  CHECK(sync.IsCurrent(At(10)));
+  sync.OnAdvertisedCount("entry-2", 1, 1, At(20));
+  CHECK(sync.IsCurrent(At(100)));
+  CHECK_FALSE(sync.IsCurrent(At(200)));
   sync.OnStoreRead(At(210), At(210));
-  CHECK(sync.Current(At(220)));
+  CHECK(sync.IsCurrent(At(220)));
 }
 
 // An entry is known from the store but has never been heard: it may be cut off
@@ -99,38 +99,38 @@
 TEST_CASE("an entry that was never heard makes this one ask the store") {
   SyncTracker sync;
   sync.OnStoreRead(At(0), At(0));
-  sync.Expect("entry-2", At(0));
-  CHECK_FALSE(sync.MustAskStore(At(400)));
-  sync.OnWanted(At(600));
-  CHECK(sync.MustAskStore(At(700)));
+  sync.AddPeer("entry-2", At(0));
+  CHECK_FALSE(sync.NeedsStoreRead(At(400)));
+  sync.OnCallerWaiting(At(600));
+  CHECK(sync.NeedsStoreRead(At(700)));
 }
 
 TEST_CASE("an entry that left in an orderly way hides nothing") {
   SyncTracker sync;
-  sync.OnCount("entry-2", 1, 0, At(0));
-  sync.Forget("entry-2");
-  CHECK_FALSE(sync.MustAskStore(At(700)));
+  sync.OnAdvertisedCount("entry-2", 1, 0, At(0));
+  sync.RemovePeer("entry-2");
+  CHECK_FALSE(sync.NeedsStoreRead(At(700)));
 }
 
 TEST_CASE("an entry that started again counts from zero") {
   SyncTracker sync;
-  sync.OnCount("entry-2", 1, 9, At(0));
+  sync.OnAdvertisedCount("entry-2", 1, 9, At(0));
   sync.OnStoreRead(At(10), At(10));
-  sync.OnCount("entry-2", 2, 1, At(500));
-  CHECK(sync.MustAskStore(At(700)));
+  sync.OnAdvertisedCount("entry-2", 2, 1, At(500));
+  CHECK(sync.NeedsStoreRead(At(700)));
 }
 
 // An entry commits a result, is stopped before its push is sent, and is back
 // half a second later. Its new count says nothing of the old process's record.
 TEST_CASE("after an entry's restart the store is asked") {
   SyncTracker sync;
-  sync.OnCount("entry-2", 1, 0, At(0));
+  sync.OnAdvertisedCount("entry-2", 1, 0, At(0));
   sync.OnStoreRead(At(10), At(10));
-  sync.OnCount("entry-2", 2, 0, At(500));
-  CHECK(sync.MustAskStore(At(700)));
-  CHECK_FALSE(sync.Current(At(700)));
+  sync.OnAdvertisedCount("entry-2", 2, 0, At(500));
+  CHECK(sync.NeedsStoreRead(At(700)));
+  CHECK_FALSE(sync.IsCurrent(At(700)));
   sync.OnStoreRead(At(700), At(700));
-  CHECK(sync.Current(At(750)));
+  CHECK(sync.IsCurrent(At(750)));
 }
 
 // The watch's connection is silent: this entry stays on the old version while
@@ -138,12 +138,12 @@
 TEST_CASE("a version that stays behind for longer than a change takes") {
   LagDetector lag;
   lag.OnAdvertised(5, 5, At(0));
-  CHECK_FALSE(lag.Lagging(5, At(1000)));
+  CHECK_FALSE(lag.IsLagging(5, At(1000)));
   lag.OnAdvertised(6, 5, At(1000));
-  CHECK_FALSE(lag.Lagging(5, At(1100)));
+  CHECK_FALSE(lag.IsLagging(5, At(1100)));
   lag.OnAdvertised(7, 5, At(1200));
-  CHECK(lag.Lagging(5, At(1350)));
-  CHECK_FALSE(lag.Lagging(7, At(1350)));
+  CHECK(lag.IsLagging(5, At(1350)));
+  CHECK_FALSE(lag.IsLagging(7, At(1350)));
 }
 
 // A job's end is pushed to all entries but this one. For some milliseconds that
@@ -151,7 +151,7 @@
 // that starts now may be one that must not.
 TEST_CASE("a gap that stays is known until the store fills it") {
   SyncTracker sync;
-  sync.OnCount("entry-2", 1, 1, At(0));
+  sync.OnAdvertisedCount("entry-2", 1, 1, At(0));
   CHECK_FALSE(sync.HasGap(At(400)));
   CHECK(sync.HasGap(At(600)));
   sync.OnStoreRead(At(700), At(700));
@@ -164,28 +164,28 @@
 TEST_CASE("after a pause nothing is current before the store was read") {
   SyncTracker sync;
   sync.OnStoreRead(At(0), At(0));
-  sync.OnCount("entry-2", 1, 0, At(10));
-  REQUIRE(sync.Current(At(20)));
+  sync.OnAdvertisedCount("entry-2", 1, 0, At(10));
+  REQUIRE(sync.IsCurrent(At(20)));
   sync.OnPaused(At(5000));
-  sync.OnCount("entry-2", 1, 0, At(5001));
-  CHECK_FALSE(sync.Current(At(5002)));
-  CHECK(sync.MustAskStore(At(5002)));
+  sync.OnAdvertisedCount("entry-2", 1, 0, At(5001));
+  CHECK_FALSE(sync.IsCurrent(At(5002)));
+  CHECK(sync.NeedsStoreRead(At(5002)));
   sync.OnStoreRead(At(5003), At(5010));
-  CHECK(sync.Current(At(5010)));
+  CHECK(sync.IsCurrent(At(5010)));
 }
 
 // A record that was not pushed is read from the store. Its writer is told, so
 // that it does not hold the job for unheard.
 TEST_CASE("a gap that was filled is told, for a while") {
   SyncTracker sync;
-  sync.OnCount("entry-2", 7, 3, At(0));
-  CHECK(sync.FilledLately(At(100)).empty());
+  sync.OnAdvertisedCount("entry-2", 7, 3, At(0));
+  CHECK(sync.RecentlyRecovered(At(100)).empty());
   sync.OnStoreRead(At(200), At(210));
-  const auto filled = sync.FilledLately(At(300));
+  const auto filled = sync.RecentlyRecovered(At(300));
   REQUIRE(filled.contains("entry-2"));
   CHECK(filled.at("entry-2").start == 7);
   CHECK(filled.at("entry-2").count == 3);
-  CHECK(sync.FilledLately(At(5000)).empty());
+  CHECK(sync.RecentlyRecovered(At(5000)).empty());
 }
 
 // All entries crash and one stays away for good. Whether it has taken jobs
@@ -193,17 +193,17 @@
 // can.
 TEST_CASE("a silent entry leaves what the others have written complete") {
   SyncTracker sync;
-  CHECK_FALSE(sync.Complete(At(0)));
+  CHECK_FALSE(sync.IsComplete(At(0)));
   sync.OnStoreRead(At(0), At(10));
-  sync.Expect("entry-3", At(10));
-  sync.OnCount("entry-2", 1, 1, At(1500));
+  sync.AddPeer("entry-3", At(10));
+  sync.OnAdvertisedCount("entry-2", 1, 1, At(1500));
   sync.OnReceived("entry-2", 1, 0, 1, At(1505));
-  CHECK_FALSE(sync.Current(At(1600)));
-  CHECK(sync.Complete(At(1600)));
-  CHECK(sync.ReceivedOf("entry-2") == 1);
-  sync.OnCount("entry-2", 1, 2, At(1700));
-  CHECK_FALSE(sync.Complete(At(2300)));
-  CHECK(sync.ReceivedOf("entry-2") == 1);
+  CHECK_FALSE(sync.IsCurrent(At(1600)));
+  CHECK(sync.IsComplete(At(1600)));
+  CHECK(sync.ReceivedFrom("entry-2") == 1);
+  sync.OnAdvertisedCount("entry-2", 1, 2, At(1700));
+  CHECK_FALSE(sync.IsComplete(At(2300)));
+  CHECK(sync.ReceivedFrom("entry-2") == 1);
 }
 
 // The link to another entry is too slow for its pushes, and it writes a record
@@ -214,12 +214,12 @@
   SyncTracker sync;
   uint64_t count = 0;
   for (int now = 0; now < 20000; now += 10) {
-    if (now % 50 == 0) sync.OnCount("entry-2", 1, ++count, At(now));
+    if (now % 50 == 0) sync.OnAdvertisedCount("entry-2", 1, ++count, At(now));
     if (now % 300 == 80) sync.OnStoreRead(At(now - 80), At(now));
     CAPTURE(now);
     REQUIRE_FALSE(sync.HasGap(At(now)));
   }
-  CHECK(sync.ReceivedOf("entry-2") + 10 > count);
+  CHECK(sync.ReceivedFrom("entry-2") + 10 > count);
 }
 
 }  // namespace knapweedstile::gateway
--- a/libs/objects/include/objects/catalog.h
+++ b/libs/objects/include/objects/catalog.h
@@ -14,7 +14,7 @@
 #include "objects/object_kind.h"
 #include "objects/placement.h"
 #include "objects/policy.h"
-#include "objects/refused_object.h"
+#include "objects/rejected_object.h"
 #include "objects/workspace.h"
 
 namespace knapweedstile::objects {
@@ -49,7 +49,7 @@
   // when they serve by the same objects (but for hash collisions).
   uint64_t digest() const noexcept { return digest_; }
   // Present versions that were refused, by kind/name.
-  std::vector<RefusedObject> Refused() const;
+  std::vector<RejectedObject> RejectedObjects() const;
 
   // The engine object of a VM, or null; the lowest name when there are several.
   const Engine* EngineOnVm(std::string_view vm) const;
@@ -57,10 +57,10 @@
   std::map<std::string, std::vector<std::string>> ShadowedPolicies() const;
 
  private:
-  struct Seen {
-    uint64_t version = 0;     // the newest, in force or refused
-    uint64_t in_force = 0;    // zero: none
-    std::string refused_for;  // empty: the newest is in force
+  struct VersionState {
+    uint64_t version = 0;          // the newest, in force or refused
+    uint64_t active_version = 0;   // zero: none
+    std::string rejection_reason;  // empty: the newest is in force
   };
 
   template <typename T>
@@ -68,13 +68,15 @@
                       uint64_t version, std::string_view value, bool deleted);
   ApplyResult Dispatch(ObjectKind kind, std::string_view name, uint64_t version,
                        std::string_view value, bool deleted);
-  void SetInForce(Seen& seen, std::string_view id, uint64_t version);
+  void SetActiveVersion(VersionState& seen, std::string_view id,
+                        uint64_t version);
 
   Table<Policy> policies_;
   Table<Placement> placements_;
   Table<Engine> engines_;
   Table<Workspace> workspaces_;
-  std::map<std::string, Seen, std::less<>> seen_;  // by kind/name
+  std::map<std::string, VersionState, std::less<>>
+      version_states_;  // by kind/name
   uint64_t revision_ = 0;
   uint64_t digest_ = 0;
 };
--- a/libs/objects/include/objects/field_error.h
+++ b/libs/objects/include/objects/field_error.h
@@ -9,7 +9,7 @@
 // Why one field of an object is refused.
 struct FieldError {
   std::string field;    // path, such as "spec.traffic.in.tier[0]"
-  std::string seen;     // the value as JSON, cut short; empty: missing
+  std::string value;    // the value as JSON, cut short; empty: missing
   std::string allowed;  // for people
 };
 
--- a/libs/objects/include/objects/policy_order.h
+++ b/libs/objects/include/objects/policy_order.h
@@ -20,7 +20,7 @@
 //
 // Without it two nodes that learnt of two policies in another order would serve
 // the same request differently.
-bool Wins(const Policy& a, const Policy& b);
+bool HasPrecedence(const Policy& a, const Policy& b);
 
 // True when the policy names any traffic: conditions on the workspace's labels,
 // or targets. One that names none sets only the sharing of its engines.
@@ -30,18 +30,18 @@
 bool SelectsTraffic(const Policy& policy);
 
 // True when the policy takes this traffic.
-bool TakesTraffic(const Policy& policy, const Labels& workspace_labels,
-                  std::string_view target);
+bool MatchesTraffic(const Policy& policy, const Labels& workspace_labels,
+                    std::string_view target);
 
 // The winner for a request of a workspace with these labels, or null.
-const Policy* WinningPolicy(const std::vector<const Policy*>& policies,
-                            const Labels& workspace_labels,
-                            std::string_view target);
+const Policy* PolicyForTraffic(const std::vector<const Policy*>& policies,
+                               const Labels& workspace_labels,
+                               std::string_view target);
 
 // The policy whose sharing is in force on an engine, or null: an engine has one
 // gate, so the winner among all policies that select it and its model sets it.
-const Policy* PolicyOfEngine(const std::vector<const Policy*>& policies,
-                             const Engine& engine);
+const Policy* PolicyForEngine(const std::vector<const Policy*>& policies,
+                              const Engine& engine);
 
 // For each policy, by name: the others that take away some of the traffic or of
 // the engines that it selects among those given, in the total order.
--- a/libs/objects/include/objects/refused_object.h
+++ b/libs/objects/include/objects/rejected_object.h
@@ -1,5 +1,5 @@
-#ifndef KNAPWEEDSTILE_OBJECTS_REFUSED_OBJECT_H_
-#define KNAPWEEDSTILE_OBJECTS_REFUSED_OBJECT_H_
+#ifndef KNAPWEEDSTILE_OBJECTS_REJECTED_OBJECT_H_
+#define KNAPWEEDSTILE_OBJECTS_REJECTED_OBJECT_H_
 
 #include <cstdint>
 #include <string>
@@ -7,13 +7,13 @@
 namespace knapweedstile::objects {
 
 // A version that was refused while an older one, or none, stays in force.
-struct RefusedObject {
+struct RejectedObject {
   std::string id;  // kind/name
   uint64_t version = 0;
-  uint64_t version_in_force = 0;  // zero: none
+  uint64_t active_version = 0;  // zero: none
   std::string reason;
 };
 
 }  // namespace knapweedstile::objects
 
-#endif  // KNAPWEEDSTILE_OBJECTS_REFUSED_OBJECT_H_
+#endif  // KNAPWEEDSTILE_OBJECTS_REJECTED_OBJECT_H_
--- a/libs/objects/src/catalog.cc
+++ b/libs/objects/src/catalog.cc
@@ -63,17 +63,17 @@
                              std::string_view name, uint64_t version,
                              std::string_view value, bool deleted) {
   const std::string id = IdOf(kind, name);
-  Seen& seen = seen_[id];
+  VersionState& seen = version_states_[id];
   if (version <= seen.version) return {ApplyOutcome::kStale, {}};
   seen.version = version;
   if (deleted) {
     table.erase(std::string(name));
-    SetInForce(seen, id, 0);
+    SetActiveVersion(seen, id, 0);
     return {ApplyOutcome::kAccepted, {}};
   }
   Parsed<T> parsed = Parse<T>(value);
   if (auto* errors = std::get_if<FieldErrors>(&parsed)) {
-    seen.refused_for = Describe(*errors);
+    seen.rejection_reason = Describe(*errors);
     return {ApplyOutcome::kInvalid, std::move(*errors)};
   }
   T& object = std::get<T>(parsed);
@@ -81,23 +81,26 @@
   object.version = version;
   Stamp(object);
   table[object.name] = std::move(object);
-  SetInForce(seen, id, version);
+  SetActiveVersion(seen, id, version);
   return {ApplyOutcome::kAccepted, {}};
 }
 
 // The digest is a sum, so that the order of arrival does not matter.
-void Catalog::SetInForce(Seen& seen, std::string_view id, uint64_t version) {
-  if (seen.in_force != 0) digest_ -= HashCombine(Hash64(id), seen.in_force);
+void Catalog::SetActiveVersion(VersionState& seen, std::string_view id,
+                               uint64_t version) {
+  if (seen.active_version != 0)
+    digest_ -= HashCombine(Hash64(id), seen.active_version);
   if (version != 0) digest_ += HashCombine(Hash64(id), version);
-  seen.in_force = version;
-  seen.refused_for.clear();
+  seen.active_version = version;
+  seen.rejection_reason.clear();
 }
 
-std::vector<RefusedObject> Catalog::Refused() const {
-  std::vector<RefusedObject> refused;
-  for (const auto& [id, seen] : seen_) {
-    if (seen.refused_for.empty()) continue;
-    refused.push_back({id, seen.version, seen.in_force, seen.refused_for});
+std::vector<RejectedObject> Catalog::RejectedObjects() const {
+  std::vector<RejectedObject> refused;
+  for (const auto& [id, seen] : version_states_) {
+    if (seen.rejection_reason.empty()) continue;
+    refused.push_back(
+        {id, seen.version, seen.active_version, seen.rejection_reason});
   }
   return refused;
 }
--- a/libs/objects/src/field_reader.cc
+++ b/libs/objects/src/field_reader.cc
@@ -26,28 +26,28 @@
   std::string text;
   for (const FieldError& error : errors) {
     if (!text.empty()) text += "; ";
-    text +=
-        fmt::format("{}: {}, allowed: {}", error.field,
-                    error.seen.empty() ? "missing" : error.seen, error.allowed);
+    text += fmt::format("{}: {}, allowed: {}", error.field,
+                        error.value.empty() ? "missing" : error.value,
+                        error.allowed);
   }
   return text;
 }
 
 void FieldReader::Text(std::string_view name, std::string& out) {
-  const json::value* value = Find(name);
+  const json::value* value = FindField(name);
   if (value == nullptr) return;
-  if (!value->is_string()) return Refuse(name, "a string");
+  if (!value->is_string()) return Reject(name, "a string");
   out = std::string(value->get_string());
 }
 
 void FieldReader::Int(std::string_view name, int64_t least, int64_t most,
                       int64_t& out) {
-  const json::value* value = Find(name);
+  const json::value* value = FindField(name);
   if (value == nullptr) return;
   json::error_code ec;
   const auto number = value->to_number<int64_t>(ec);
   if (ec || value->is_double() || number < least || number > most) {
-    return Refuse(name,
+    return Reject(name,
                   fmt::format("a whole number from {} to {}", least, most));
   }
   out = number;
@@ -55,43 +55,43 @@
 
 void FieldReader::Real(std::string_view name, double least, double most,
                        double& out) {
-  const json::value* value = Find(name);
+  const json::value* value = FindField(name);
   if (value == nullptr) return;
   json::error_code ec;
   const auto number = value->to_number<double>(ec);
   if (ec || !(number >= least && number <= most)) {
-    return Refuse(name, fmt::format("a number from {} to {}", least, most));
+    return Reject(name, fmt::format("a number from {} to {}", least, most));
   }
   out = number;
 }
 
 void FieldReader::TextList(std::string_view name,
                            std::vector<std::string>& out) {
-  const json::value* value = Find(name);
+  const json::value* value = FindField(name);
   if (value != nullptr) TextListAt(*value, PathOf(name), out);
 }
 
 void FieldReader::LabelMap(std::string_view name, Labels& out) {
-  const json::object* member = Member(name);
+  const json::object* member = FindObject(name);
   if (member == nullptr) return;
   for (const auto& entry : *member) {
     if (entry.value().is_string()) {
       out[std::string(entry.key())] = std::string(entry.value().get_string());
     } else {
-      Add(PathOf(name) + "." + std::string(entry.key()), &entry.value(),
-          "a string");
+      AddError(PathOf(name) + "." + std::string(entry.key()), &entry.value(),
+               "a string");
     }
   }
 }
 
 void FieldReader::ReadSelector(std::string_view name, Selector& out) {
   if (auto child = Child(name)) {
-    child->SelectorFields(out);
-    child->RefuseUnknown();
+    child->ReadSelectorFields(out);
+    child->RejectUnknownFields();
   }
 }
 
-void FieldReader::SelectorFields(Selector& out) {
+void FieldReader::ReadSelectorFields(Selector& out) {
   LabelMap("match", out.match);
   ValueLists("in", out.in);
   ValueLists("not_in", out.not_in);
@@ -99,37 +99,38 @@
 }
 
 std::optional<FieldReader> FieldReader::Child(std::string_view name) {
-  const json::object* member = Member(name);
+  const json::object* member = FindObject(name);
   if (member == nullptr) return std::nullopt;
   return FieldReader(*member, PathOf(name), errors_);
 }
 
-const json::object* FieldReader::Member(std::string_view name) {
-  const json::value* value = Find(name);
+const json::object* FieldReader::FindObject(std::string_view name) {
+  const json::value* value = FindField(name);
   if (value == nullptr) return nullptr;
   if (value->is_object()) return &value->get_object();
-  Refuse(name, "an object");
+  Reject(name, "an object");
   return nullptr;
 }
 
 void FieldReader::Require(std::string_view name) {
-  if (!object_.contains(name)) Add(PathOf(name), nullptr, "it must be there");
+  if (!object_.contains(name))
+    AddError(PathOf(name), nullptr, "it must be there");
 }
 
-void FieldReader::Refuse(std::string_view name, std::string allowed) {
-  Add(PathOf(name), object_.if_contains(name), std::move(allowed));
+void FieldReader::Reject(std::string_view name, std::string allowed) {
+  AddError(PathOf(name), object_.if_contains(name), std::move(allowed));
 }
 
-void FieldReader::RefuseUnknown() {
+void FieldReader::RejectUnknownFields() {
   std::string allowed;
-  for (const std::string& name : known_) {
+  for (const std::string& name : known_fields_) {
     allowed += allowed.empty() ? name : ", " + name;
   }
   for (const auto& entry : object_) {
     const std::string_view name = entry.key();
-    if (known_.contains(name)) continue;
-    Add(PathOf(name), &entry.value(),
-        "no such field; the fields are " + allowed);
+    if (known_fields_.contains(name)) continue;
+    AddError(PathOf(name), &entry.value(),
+             "no such field; the fields are " + allowed);
   }
 }
 
@@ -137,26 +138,26 @@
   return path_.empty() ? std::string(name) : path_ + "." + std::string(name);
 }
 
-const json::value* FieldReader::Find(std::string_view name) {
-  known_.emplace(name);
+const json::value* FieldReader::FindField(std::string_view name) {
+  known_fields_.emplace(name);
   return object_.if_contains(name);
 }
 
 void FieldReader::TextListAt(const json::value& value, const std::string& path,
                              std::vector<std::string>& out) {
-  if (!value.is_array()) return Add(path, &value, "a list of strings");
+  if (!value.is_array()) return AddError(path, &value, "a list of strings");
   const json::array& list = value.get_array();
   for (size_t i = 0; i < list.size(); ++i) {
     if (list[i].is_string()) {
       out.emplace_back(list[i].get_string());
     } else {
-      Add(fmt::format("{}[{}]", path, i), &list[i], "a string");
+      AddError(fmt::format("{}[{}]", path, i), &list[i], "a string");
     }
   }
 }
 
 void FieldReader::ValueLists(std::string_view name, Selector::ValueLists& out) {
-  const json::object* member = Member(name);
+  const json::object* member = FindObject(name);
   if (member == nullptr) return;
   for (const auto& entry : *member) {
     const std::string key(entry.key());
@@ -164,8 +165,8 @@
   }
 }
 
-void FieldReader::Add(const std::string& path, const json::value* seen,
-                      std::string allowed) {
+void FieldReader::AddError(const std::string& path, const json::value* seen,
+                           std::string allowed) {
   errors_.push_back({path, Shown(seen), std::move(allowed)});
 }
 
--- a/libs/objects/src/field_reader.h
+++ b/libs/objects/src/field_reader.h
@@ -31,31 +31,31 @@
   void LabelMap(std::string_view name, Labels& out);
   void ReadSelector(std::string_view name, Selector& out);
   // The selector's conditions, when this object is one.
-  void SelectorFields(Selector& out);
+  void ReadSelectorFields(Selector& out);
   // A reader of the member object; none when it is absent or no object.
   std::optional<FieldReader> Child(std::string_view name);
 
   // Errors for a field that must be there, or for its value.
   void Require(std::string_view name);
-  void Refuse(std::string_view name, std::string allowed);
+  void Reject(std::string_view name, std::string allowed);
   // Call last.
-  void RefuseUnknown();
+  void RejectUnknownFields();
 
   std::string PathOf(std::string_view name) const;
 
  private:
-  const boost::json::object* Member(std::string_view name);
-  const boost::json::value* Find(std::string_view name);
+  const boost::json::object* FindObject(std::string_view name);
+  const boost::json::value* FindField(std::string_view name);
   void TextListAt(const boost::json::value& value, const std::string& path,
                   std::vector<std::string>& out);
   void ValueLists(std::string_view name, Selector::ValueLists& out);
-  void Add(const std::string& path, const boost::json::value* seen,
-           std::string allowed);
+  void AddError(const std::string& path, const boost::json::value* seen,
+                std::string allowed);
 
   const boost::json::object& object_;
   std::string path_;
   FieldErrors& errors_;
-  std::set<std::string, std::less<>> known_;
+  std::set<std::string, std::less<>> known_fields_;
 };
 
 }  // namespace knapweedstile::objects
--- a/libs/objects/src/parse.cc
+++ b/libs/objects/src/parse.cc
@@ -41,7 +41,7 @@
   if (const auto parsed = ParseEnum<decide::SharingKind>(kind)) {
     sharing.kind = *parsed;
   } else {
-    reader.Refuse("sharing", NamesOf<decide::SharingKind>());
+    reader.Reject("sharing", NamesOf<decide::SharingKind>());
   }
   sharing.batch_share_permille =
       static_cast<uint32_t>(std::lround(share * kPermille));
@@ -52,9 +52,9 @@
 void ReadSpec(FieldReader& reader, Policy& policy) {
   reader.Int("priority", -kMostPriority, kMostPriority, policy.priority);
   if (auto traffic = reader.Child("traffic")) {
-    traffic->SelectorFields(policy.traffic);
+    traffic->ReadSelectorFields(policy.traffic);
     traffic->TextList("targets", policy.targets);
-    traffic->RefuseUnknown();
+    traffic->RejectUnknownFields();
   }
   reader.ReadSelector("engines", policy.engines);
   ReadSharing(reader, policy.sharing);
@@ -73,7 +73,7 @@
   for (const std::string& text : digests) {
     const auto digest = workspaces::ParseKeyDigest(text);
     if (!digest) {
-      reader.Refuse("key_sha256", "64 lower-case hexadecimal digits each");
+      reader.Reject("key_sha256", "64 lower-case hexadecimal digits each");
       return;
     }
     workspace.keys.push_back(*digest);
@@ -107,9 +107,9 @@
   reader.LabelMap("labels", object.labels);
   if (auto spec = reader.Child("spec")) {
     ReadSpec(*spec, object);
-    spec->RefuseUnknown();
+    spec->RejectUnknownFields();
   }
-  reader.RefuseUnknown();
+  reader.RejectUnknownFields();
   return object;
 }
 
--- a/libs/objects/src/policy_order.cc
+++ b/libs/objects/src/policy_order.cc
@@ -26,7 +26,7 @@
   const Policy* winner = nullptr;
   for (const Policy* policy : policies) {
     if (!selects(*policy)) continue;
-    if (winner == nullptr || Wins(*policy, *winner)) winner = policy;
+    if (winner == nullptr || HasPrecedence(*policy, *winner)) winner = policy;
   }
   return winner;
 }
@@ -63,7 +63,7 @@
 
 }  // namespace
 
-bool Wins(const Policy& a, const Policy& b) {
+bool HasPrecedence(const Policy& a, const Policy& b) {
   if (a.priority != b.priority) return a.priority > b.priority;
   return a.name < b.name;
 }
@@ -75,22 +75,22 @@
          !traffic.exists.empty();
 }
 
-bool TakesTraffic(const Policy& policy, const Labels& workspace_labels,
-                  std::string_view target) {
+bool MatchesTraffic(const Policy& policy, const Labels& workspace_labels,
+                    std::string_view target) {
   return SelectsTraffic(policy) && ServesTarget(policy, target) &&
          Matches(policy.traffic, workspace_labels);
 }
 
-const Policy* WinningPolicy(const std::vector<const Policy*>& policies,
-                            const Labels& workspace_labels,
-                            std::string_view target) {
+const Policy* PolicyForTraffic(const std::vector<const Policy*>& policies,
+                               const Labels& workspace_labels,
+                               std::string_view target) {
   return FirstBy(policies, [&](const Policy& policy) {
-    return TakesTraffic(policy, workspace_labels, target);
+    return MatchesTraffic(policy, workspace_labels, target);
   });
 }
 
-const Policy* PolicyOfEngine(const std::vector<const Policy*>& policies,
-                             const Engine& engine) {
+const Policy* PolicyForEngine(const std::vector<const Policy*>& policies,
+                              const Engine& engine) {
   return FirstBy(policies, [&](const Policy& policy) {
     return SelectsEngine(policy, engine);
   });
@@ -101,8 +101,9 @@
     const std::vector<const Engine*>& engines,
     const std::vector<const Workspace*>& workspaces) {
   std::vector<const Policy*> ordered = policies;
-  std::sort(ordered.begin(), ordered.end(),
-            [](const Policy* a, const Policy* b) { return Wins(*a, *b); });
+  std::sort(
+      ordered.begin(), ordered.end(),
+      [](const Policy* a, const Policy* b) { return HasPrecedence(*a, *b); });
   std::map<std::string, std::vector<std::string>> shadowed;
   for (size_t i = 0; i < ordered.size(); ++i) {
     std::vector<std::string>& by = shadowed[ordered[i]->name];
--- a/libs/objects/tests/objects_test.cc
+++ b/libs/objects/tests/objects_test.cc
@@ -23,14 +23,14 @@
 // The policy that a request of the workspace falls under, or null.
 const Policy* WinnerFor(const Catalog& catalog, const std::string& workspace,
                         const std::string& target) {
-  return WinningPolicy(catalog.AllPolicies(),
-                       catalog.workspaces().at(workspace).labels, target);
+  return PolicyForTraffic(catalog.AllPolicies(),
+                          catalog.workspaces().at(workspace).labels, target);
 }
 
 // Name of the policy whose sharing is in force on the engine.
 std::string SharingOf(const Catalog& catalog, const std::string& engine) {
   const Policy* policy =
-      PolicyOfEngine(catalog.AllPolicies(), catalog.engines().at(engine));
+      PolicyForEngine(catalog.AllPolicies(), catalog.engines().at(engine));
   return policy == nullptr ? "default" : policy->sharing.name;
 }
 
@@ -101,7 +101,7 @@
   REQUIRE(refused.errors[0].field == "spec.x");
   REQUIRE(catalog.policies().at("p").version == 4);
   REQUIRE(catalog.digest() == digest);
-  REQUIRE(catalog.Refused()[0].version_in_force == 4);
+  REQUIRE(catalog.RejectedObjects()[0].active_version == 4);
   REQUIRE(catalog.revision() == 9);
 }
 
--- a/libs/settings/include/settings/schema.h
+++ b/libs/settings/include/settings/schema.h
@@ -86,7 +86,7 @@
     std::string path;
     std::string unit;
     std::string allowed;
-    std::string standard;
+    std::string default_value;
     std::string doc;
     Presence presence = Presence::kOptional;
     // False when the value is not allowed.
--- a/libs/settings/include/settings/setting_error.h
+++ b/libs/settings/include/settings/setting_error.h
@@ -15,7 +15,7 @@
   std::string allowed;  // what would be right
 
   // `FILE:LINE: KEY: VALUE is not allowed; allowed: ...`
-  std::string Text() const;
+  std::string ToString() const;
 };
 
 }  // namespace knapweedstile::settings
--- a/libs/settings/include/settings/setting_value.h
+++ b/libs/settings/include/settings/setting_value.h
@@ -9,12 +9,12 @@
 
 // A value read from a settings file, free of the TOML library's types.
 struct SettingValue {
-  enum class Kind { kText, kInteger, kFraction, kFlag, kTextList, kOther };
+  enum class Kind { kText, kInteger, kReal, kFlag, kTextList, kOther };
 
   Kind kind = Kind::kOther;
   std::string text;
   int64_t integer = 0;
-  double fraction = 0;
+  double real = 0;
   bool flag = false;
   std::vector<std::string> list;
 };
--- a/libs/settings/src/schema.cc
+++ b/libs/settings/src/schema.cc
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-std::string SettingError::Text() const {
+std::string SettingError::ToString() const {
   if (line == 0) {
     return fmt::format("{}: {}: is absent; allowed: {}", file, key, allowed);
   }
@@ -123,8 +123,8 @@
                      double number = 0;
                      if (value.kind == SettingValue::Kind::kInteger) {
                        number = static_cast<double>(value.integer);
-                     } else if (value.kind == SettingValue::Kind::kFraction) {
-                       number = value.fraction;
+                     } else if (value.kind == SettingValue::Kind::kReal) {
+                       number = value.real;
                      } else {
                        return false;
                      }
@@ -203,10 +203,11 @@
     seen.insert(leaf.path);
     const Key* key = Find(leaf.path);
     if (key == nullptr) {
-      errors.push_back({file, leaf.line, leaf.path, leaf.shown,
+      errors.push_back({file, leaf.line, leaf.path, leaf.value_text,
                         "a key that docs/settings.md lists"});
     } else if (!key->apply(leaf.value)) {
-      errors.push_back({file, leaf.line, leaf.path, leaf.shown, key->allowed});
+      errors.push_back(
+          {file, leaf.line, leaf.path, leaf.value_text, key->allowed});
     }
   }
   for (const Key& key : keys_) {
@@ -224,7 +225,7 @@
   for (const Key& key : keys_) {
     const std::string standard = key.presence == Presence::kRequired
                                      ? "required"
-                                     : fmt::format("`{}`", key.standard);
+                                     : fmt::format("`{}`", key.default_value);
     page += fmt::format("| `{}` | {} | {} | {} | {} |\n", key.path, key.unit,
                         key.allowed, standard, key.doc);
   }
--- a/libs/settings/src/toml_reader.cc
+++ b/libs/settings/src/toml_reader.cc
@@ -22,8 +22,8 @@
     value.kind = Kind::kInteger;
     value.integer = integer->get();
   } else if (const auto* fraction = node.as_floating_point()) {
-    value.kind = Kind::kFraction;
-    value.fraction = fraction->get();
+    value.kind = Kind::kReal;
+    value.real = fraction->get();
   } else if (const auto* flag = node.as_boolean()) {
     value.kind = Kind::kFlag;
     value.flag = flag->get();
--- a/libs/settings/src/toml_reader.h
+++ b/libs/settings/src/toml_reader.h
@@ -19,7 +19,7 @@
   struct Leaf {
     std::string path;
     uint32_t line = 0;
-    std::string shown;  // the value as text, for errors
+    std::string value_text;  // the value as text, for errors
     SettingValue value;
   };
 
--- a/libs/settings/tests/schema_test.cc
+++ b/libs/settings/tests/schema_test.cc
@@ -47,14 +47,14 @@
   const auto errors = Bind(&example).LoadText(
       "[node]\nlisten = \"nowhere\"\n[gate]\nslots = 0\nslot = 3\n", "n.toml");
   REQUIRE(errors.size() == 4);
-  REQUIRE(errors[0].Text() ==
+  REQUIRE(errors[0].ToString() ==
           "n.toml:2: node.listen: \"nowhere\" is not allowed; allowed: "
           "\"IP:PORT\"");
-  REQUIRE(errors[1].Text() ==
+  REQUIRE(errors[1].ToString() ==
           "n.toml:4: gate.slots: 0 is not allowed; allowed: a whole number "
           "from 1 to 4096");
   REQUIRE(errors[2].key == "gate.slot");
-  REQUIRE(errors[3].Text() ==
+  REQUIRE(errors[3].ToString() ==
           "n.toml: node.name: is absent; allowed: any text that is not empty");
 }
 
--- a/libs/workspaces/include/workspaces/admission_window.h
+++ b/libs/workspaces/include/workspaces/admission_window.h
@@ -13,7 +13,8 @@
 // that it touches, so it is never shorter than what was asked for.
 class AdmissionWindow {
  public:
-  explicit AdmissionWindow(Duration longest) : slot_(longest / kParts) {}
+  explicit AdmissionWindow(Duration longest)
+      : bucket_length_(longest / kBucketsPerLongestSpan) {}
 
   void Add(TimePoint now);
   // Takes back one that was admitted at `admitted_at`.
@@ -22,17 +23,17 @@
   uint32_t CountIn(Duration span, TimePoint now) const;
 
  private:
-  static constexpr int64_t kParts = 50;
-  static constexpr int64_t kSlots = kParts + 1;
+  static constexpr int64_t kBucketsPerLongestSpan = 50;
+  static constexpr int64_t kBuckets = kBucketsPerLongestSpan + 1;
 
-  int64_t SlotOf(TimePoint at) const noexcept {
-    return at.time_since_epoch() / slot_;
+  int64_t BucketOf(TimePoint at) const noexcept {
+    return at.time_since_epoch() / bucket_length_;
   }
   void Advance(int64_t slot);
 
-  Duration slot_;
-  std::array<uint16_t, kSlots> counts_{};  // by slot number modulo kSlots
-  int64_t newest_ = 0;                     // slot number
+  Duration bucket_length_;
+  std::array<uint16_t, kBuckets> counts_{};  // by slot number modulo kSlots
+  int64_t newest_bucket_ = 0;                // slot number
 };
 
 }  // namespace knapweedstile::workspaces
--- a/libs/workspaces/include/workspaces/directory.h
+++ b/libs/workspaces/include/workspaces/directory.h
@@ -19,7 +19,7 @@
 // and rate those of the configuration, its labels and models those of the
 // object. A key that the configuration gives to one workspace and an object to
 // another belongs to the configuration's.
-class Directory {
+class WorkspaceDirectory {
  public:
   // Commands. The configuration's workspaces, all of them; nothing when it has
   // no such list. Callers need a key from the first list on.
@@ -35,7 +35,7 @@
   // Whether any workspace has a key.
   bool has_keys() const noexcept { return !names_by_key_.empty(); }
   // Whether the rate of any workspace is limited.
-  bool has_rates() const noexcept { return has_rates_; }
+  bool has_rate_limits() const noexcept { return has_rate_limits_; }
   // By name.
   const std::map<std::string, Workspace, std::less<>>& all() const noexcept {
     return workspaces_;
@@ -48,7 +48,7 @@
   std::vector<Workspace> objects_;
   std::map<std::string, Workspace, std::less<>> workspaces_;
   std::map<KeyDigest, std::string> names_by_key_;
-  bool has_rates_ = false;
+  bool has_rate_limits_ = false;
 };
 
 }  // namespace knapweedstile::workspaces
--- a/libs/workspaces/include/workspaces/rate_answer.h
+++ b/libs/workspaces/include/workspaces/rate_answer.h
@@ -18,14 +18,15 @@
 };
 
 // The answer to one request, with what it was decided by.
-struct RateAnswer {
+struct RateDecision {
   RateVerdict verdict = RateVerdict::kAdmitted;
-  Duration retry_after{};    // kAdmitted: zero
-  double limit = 0;          // requests in the window
-  double known = 0;          // admitted in it by all entries, as known here
-  uint32_t own = 0;          // by this one
-  uint32_t silent = 0;       // entries that are not heard, or do not hear
-  Duration oldest_report{};  // age of the oldest report counted as heard
+  Duration retry_after{};     // kAdmitted: zero
+  double limit = 0;           // requests in the window
+  double total_admitted = 0;  // admitted in it by all entries, as known here
+  uint32_t own_admitted = 0;  // by this one
+  uint32_t unreachable_gateways =
+      0;                         // entries that are not heard, or do not hear
+  Duration oldest_report_age{};  // age of the oldest report counted as heard
 };
 
 }  // namespace knapweedstile::workspaces
--- a/libs/workspaces/include/workspaces/rate_limit.h
+++ b/libs/workspaces/include/workspaces/rate_limit.h
@@ -10,7 +10,7 @@
 
   bool limited() const noexcept { return per_second > 0; }
   // Most requests in any span of so many seconds.
-  double MostIn(double seconds) const noexcept {
+  double MaxRequestsIn(double seconds) const noexcept {
     return per_second * seconds + burst;
   }
 };
--- a/libs/workspaces/include/workspaces/rate_quota.h
+++ b/libs/workspaces/include/workspaces/rate_quota.h
@@ -43,114 +43,117 @@
 //   just started, nobody knows, and the limit grows from almost nothing.
 class RateQuota {
  public:
-  RateQuota(const RateQuotaSettings& settings, EntryHash own_entry,
+  RateQuota(const RateQuotaSettings& settings, GatewayHash own_entry,
             uint64_t seed, TimePoint started_at);
 
   // Commands.
   // Judges a request and counts it when it is admitted.
-  RateAnswer Admit(WorkspaceHash workspace, const RateLimit& limit,
-                   TimePoint now);
+  RateDecision Admit(WorkspaceHash workspace, const RateLimit& limit,
+                     TimePoint now);
   // A request that was admitted at `admitted_at` has not run and never will.
-  void GiveBack(WorkspaceHash workspace, TimePoint admitted_at, TimePoint now);
+  void Refund(WorkspaceHash workspace, TimePoint admitted_at, TimePoint now);
   // All other entries of the fleet, heard or not.
-  void SetMembers(const std::vector<EntryHash>& others, TimePoint now);
+  void SetMembers(const std::vector<GatewayHash>& others, TimePoint now);
   // `start` tells processes of an entry apart. `partial`: holds only what has
   // changed.
-  void OnReport(EntryHash entry, uint64_t start, const RateReport& report,
+  void OnReport(GatewayHash entry, uint64_t start, const RateReport& report,
                 bool partial, TimePoint now);
   // The entry has stopped as planned; nothing is kept for it.
-  void Leave(EntryHash entry);
+  void RemovePeer(GatewayHash entry);
   // This process stood still: what others told is old, and is told anew soon.
   void OnPaused();
   // Notices silence and forgets what is too old to count.
   void Expire(TimePoint now);
   // What has changed since anything was told.
-  RateReport TakeChanges(TimePoint now);
+  RateReport TakeDeltaReport(TimePoint now);
 
   // Queries.
-  RateReport Report(TimePoint now) const;
+  RateReport FullReport(TimePoint now) const;
   uint32_t OwnCount(WorkspaceHash workspace, TimePoint now) const;
-  double KnownCount(WorkspaceHash workspace, TimePoint now) const;
-  uint32_t OwnRefused(WorkspaceHash workspace, TimePoint now) const;
+  double TotalCount(WorkspaceHash workspace, TimePoint now) const;
+  uint32_t OwnRejected(WorkspaceHash workspace, TimePoint now) const;
   Duration window() const noexcept { return settings_.window; }
 
  private:
-  struct Own {
-    explicit Own(Duration longest) : window(longest), refused(longest) {}
+  struct OwnCounts {
+    explicit OwnCounts(Duration longest) : window(longest), rejected(longest) {}
 
     AdmissionWindow window;
-    AdmissionWindow refused;
+    AdmissionWindow rejected;
     TimePoint used_at{};
-    TimePoint last_return_at{};  // that a refused request was told
-    bool changed = false;        // since it was told
+    TimePoint last_retry_at{};  // that a refused request was told
+    bool changed = false;       // since it was told
   };
   struct Peer {
     uint64_t start = 0;
-    bool whole_heard = false;  // a whole report of this process
-    bool hears_this = false;
-    bool silent = true;
-    TimePoint silent_since{};
-    TimePoint heard_at{};
+    bool full_report_received = false;  // a whole report of this process
+    bool receives_our_reports = false;
+    bool unreachable = true;
+    TimePoint unreachable_since{};
+    TimePoint last_report_at{};
     Duration uptime{};  // at `heard_at`
     std::unordered_map<WorkspaceHash, AdmittedCount> counts;
     // Its part of the demand when it fell silent.
-    std::unordered_map<WorkspaceHash, double> share;
+    std::unordered_map<WorkspaceHash, double> demand_share;
   };
-  struct Former {
+  struct PreviousCount {
     uint32_t count = 0;
     TimePoint counted_at{};
-    bool first_hand = false;  // seen here, not told by another entry
+    bool received_directly = false;  // seen here, not told by another entry
   };
-  struct Known {
+  struct AdmittedTotals {
     double all = 0;
-    double heard = 0;  // own and of entries that hear this one
+    double reachable = 0;  // own and of entries that hear this one
     // Of those, in each span of the window.
-    std::array<double, kRateSpans> heard_in_spans{};
+    std::array<double, kRateSpans> reachable_in_spans{};
     uint32_t own = 0;
   };
 
-  Known KnownOf(WorkspaceHash workspace, TimePoint now) const;
+  AdmittedTotals TotalsOf(WorkspaceHash workspace, TimePoint now) const;
   // The most that may be admitted while the last seconds are not known.
-  double MostSinceStart(const RateLimit& limit, TimePoint now) const;
+  double MaxSinceStart(const RateLimit& limit, TimePoint now) const;
   // The part of the limit of the entries that hear each other.
-  double HeardPart(WorkspaceHash workspace) const;
-  RateVerdict Judge(WorkspaceHash workspace, const RateLimit& limit,
-                    const Known& known, TimePoint now) const;
-  Duration ReturnAfter(Own& own, const RateLimit& limit, const Known& known,
-                       RateVerdict verdict, TimePoint now);
-  void KeepFormer(EntryHash entry, const Peer& peer);
+  double ReachableShare(WorkspaceHash workspace) const;
+  RateVerdict Decide(WorkspaceHash workspace, const RateLimit& limit,
+                     const AdmittedTotals& known, TimePoint now) const;
+  Duration RetryAfter(OwnCounts& own, const RateLimit& limit,
+                      const AdmittedTotals& known, RateVerdict verdict,
+                      TimePoint now);
+  void KeepPreviousCounts(GatewayHash entry, const Peer& peer);
   double OwnGrowth(WorkspaceHash workspace, TimePoint since,
                    TimePoint now) const;
-  void SetSilent(Peer& peer, TimePoint now);
-  AdmittedCount CountOf(WorkspaceHash workspace, const Own& own,
+  void MarkUnreachable(Peer& peer, TimePoint now);
+  AdmittedCount CountOf(WorkspaceHash workspace, const OwnCounts& own,
                         TimePoint now) const;
-  size_t entries() const noexcept { return peers_.size() + 1; }
+  size_t fleet_size() const noexcept { return peers_.size() + 1; }
 
   Duration SpanOf(size_t span) const noexcept {
     return settings_.window * static_cast<int64_t>(span + 1) / kRateSpans;
   }
   // Whether one more fits each span of the window.
-  bool FitsSpans(const RateLimit& limit, const Known& known) const;
+  bool FitsAllSpans(const RateLimit& limit, const AdmittedTotals& known) const;
   // Most requests of a workspace in the window.
-  double Whole(const RateLimit& limit) const noexcept;
+  double WindowLimit(const RateLimit& limit) const noexcept;
   // A part of the requests that may be admitted beyond the limit.
   double Overage(double part, double limit) const noexcept;
   // What of a count that was told at `reported_at` may still lie in the window.
-  uint32_t StillIn(uint32_t count, TimePoint reported_at, TimePoint now) const;
+  uint32_t CountStillInWindow(uint32_t count, TimePoint reported_at,
+                              TimePoint now) const;
 
   RateQuotaSettings settings_;
-  EntryHash own_entry_;
+  GatewayHash own_gateway_;
   TimePoint started_at_;
   Rng rng_;
   bool members_known_ = false;
-  uint32_t advertised_entries_ = 0;  // that others say there are
-  uint32_t silent_ = 0;              // peers that are silent
-  std::unordered_map<WorkspaceHash, Own> own_;
+  uint32_t advertised_fleet_size_ = 0;  // that others say there are
+  uint32_t unreachable_count_ = 0;      // peers that are silent
+  std::unordered_map<WorkspaceHash, OwnCounts> own_;
   std::vector<WorkspaceHash> changed_;
-  std::map<EntryHash, Peer> peers_;
+  std::map<GatewayHash, Peer> peers_;
   // Stopped as planned or silent for long, and not heard since.
-  std::set<EntryHash> left_;
-  std::map<std::pair<WorkspaceHash, EntryHash>, Former> former_;
+  std::set<GatewayHash> removed_peers_;
+  std::map<std::pair<WorkspaceHash, GatewayHash>, PreviousCount>
+      previous_counts_;
 };
 
 }  // namespace knapweedstile::workspaces
--- a/libs/workspaces/include/workspaces/rate_report.h
+++ b/libs/workspaces/include/workspaces/rate_report.h
@@ -13,7 +13,7 @@
 // A workspace's name as the entries tell it each other.
 using WorkspaceHash = uint64_t;
 // The same for an entry's name.
-using EntryHash = uint64_t;
+using GatewayHash = uint64_t;
 
 // The rate holds in the whole window and in each of its fifths and their
 // multiples: the last fifth, the last two and so on.
@@ -29,8 +29,8 @@
 };
 
 // What a process of an entry that is gone had admitted before its end.
-struct FormerCount {
-  EntryHash entry = 0;
+struct PreviousProcessCount {
+  GatewayHash gateway = 0;
   WorkspaceHash workspace = 0;
   uint32_t in_window = 0;
 };
@@ -40,12 +40,12 @@
 struct RateReport {
   Duration uptime{};  // of the entry's process
   // Entries of the fleet, as far as the entry knows; zero: it does not.
-  uint32_t entries = 0;
+  uint32_t fleet_size = 0;
   std::vector<AdmittedCount> admitted;
   // Whole reports only.
-  std::vector<FormerCount> former;
+  std::vector<PreviousProcessCount> previous_processes;
   // Entries of the fleet that this one does not hear; whole reports only.
-  std::vector<EntryHash> unreachable;
+  std::vector<GatewayHash> unreachable;
 };
 
 }  // namespace knapweedstile::workspaces
--- a/libs/workspaces/src/admission_window.cc
+++ b/libs/workspaces/src/admission_window.cc
@@ -6,34 +6,34 @@
 namespace knapweedstile::workspaces {
 
 void AdmissionWindow::Advance(int64_t slot) {
-  if (slot <= newest_) return;
-  const int64_t first_new = std::max(newest_ + 1, slot - kSlots + 1);
-  for (int64_t at = first_new; at <= slot; ++at) counts_[at % kSlots] = 0;
-  newest_ = slot;
+  if (slot <= newest_bucket_) return;
+  const int64_t first_new = std::max(newest_bucket_ + 1, slot - kBuckets + 1);
+  for (int64_t at = first_new; at <= slot; ++at) counts_[at % kBuckets] = 0;
+  newest_bucket_ = slot;
 }
 
 void AdmissionWindow::Add(TimePoint now) {
-  Advance(SlotOf(now));
-  uint16_t& count = counts_[newest_ % kSlots];
+  Advance(BucketOf(now));
+  uint16_t& count = counts_[newest_bucket_ % kBuckets];
   if (count < std::numeric_limits<uint16_t>::max()) ++count;
 }
 
 void AdmissionWindow::Remove(TimePoint admitted_at, TimePoint now) {
-  Advance(SlotOf(now));
-  const int64_t slot = SlotOf(admitted_at);
-  if (slot <= newest_ - kSlots) return;
-  uint16_t& count = counts_[slot % kSlots];
+  Advance(BucketOf(now));
+  const int64_t slot = BucketOf(admitted_at);
+  if (slot <= newest_bucket_ - kBuckets) return;
+  uint16_t& count = counts_[slot % kBuckets];
   if (count > 0) --count;
 }
 
 uint32_t AdmissionWindow::CountIn(Duration span, TimePoint now) const {
-  const int64_t last = SlotOf(now);
-  const int64_t oldest_kept = newest_ - kSlots + 1;
-  const int64_t first = std::max(SlotOf(now - span), oldest_kept);
+  const int64_t last = BucketOf(now);
+  const int64_t oldest_kept = newest_bucket_ - kBuckets + 1;
+  const int64_t first = std::max(BucketOf(now - span), oldest_kept);
   uint32_t count = 0;
-  for (int64_t at = std::max<int64_t>(first, 0); at <= std::min(last, newest_);
-       ++at) {
-    count += counts_[at % kSlots];
+  for (int64_t at = std::max<int64_t>(first, 0);
+       at <= std::min(last, newest_bucket_); ++at) {
+    count += counts_[at % kBuckets];
   }
   return count;
 }
--- a/libs/workspaces/src/directory.cc
+++ b/libs/workspaces/src/directory.cc
@@ -8,19 +8,19 @@
 // Failure guarded against: a list that is gone from a later configuration, by
 // an operator's mistake, would open every route to everybody. Once there was a
 // list, no list is an empty one.
-void Directory::SetConfigured(
+void WorkspaceDirectory::SetConfigured(
     std::optional<std::vector<Workspace>> workspaces) {
   if (!workspaces && !configured_) return;
   configured_ = std::move(workspaces).value_or(std::vector<Workspace>());
   Merge();
 }
 
-void Directory::SetObjects(std::vector<Workspace> workspaces) {
+void WorkspaceDirectory::SetObjects(std::vector<Workspace> workspaces) {
   objects_ = std::move(workspaces);
   Merge();
 }
 
-void Directory::Merge() {
+void WorkspaceDirectory::Merge() {
   workspaces_.clear();
   names_by_key_.clear();
   if (configured_) {
@@ -50,17 +50,17 @@
       names_by_key_.try_emplace(key, object.name);
     }
   }
-  has_rates_ =
+  has_rate_limits_ =
       std::any_of(workspaces_.begin(), workspaces_.end(),
                   [](const auto& w) { return w.second.rate.limited(); });
 }
 
-const Workspace* Directory::FindByKey(const KeyDigest& key) const {
+const Workspace* WorkspaceDirectory::FindByKey(const KeyDigest& key) const {
   const auto found = names_by_key_.find(key);
   return found == names_by_key_.end() ? nullptr : Find(found->second);
 }
 
-const Workspace* Directory::Find(std::string_view name) const {
+const Workspace* WorkspaceDirectory::Find(std::string_view name) const {
   const auto found = workspaces_.find(name);
   return found == workspaces_.end() ? nullptr : &found->second;
 }
--- a/libs/workspaces/tests/directory_test.cc
+++ b/libs/workspaces/tests/directory_test.cc
@@ -14,7 +14,8 @@
   return workspace;
 }
 
-std::string OwnerOf(const Directory& directory, const std::string& key) {
+std::string OwnerOf(const WorkspaceDirectory& directory,
+                    const std::string& key) {
   const Workspace* owner = directory.FindByKey(DigestOf(key));
   return owner ? owner->name : "";
 }
@@ -28,7 +29,7 @@
 }  // namespace
 
 TEST_CASE("a key leads to its workspace until a version takes it away") {
-  Directory directory;
+  WorkspaceDirectory directory;
   CHECK_FALSE(directory.needs_key());
   directory.SetConfigured({{Named("kennel", {"k1", "k2"}), Named("cats", {})}});
   CHECK(directory.needs_key());
@@ -46,7 +47,7 @@
 // A version of the configuration comes without its list of workspaces, by
 // mistake. Callers whose keys were taken away must not get in by it.
 TEST_CASE("without a list after there was one nobody holds a key") {
-  Directory directory;
+  WorkspaceDirectory directory;
   directory.SetConfigured({{Named("kennel", {"k1"})}});
   directory.SetConfigured(std::nullopt);
   CHECK(directory.needs_key());
@@ -54,7 +55,7 @@
 }
 
 TEST_CASE("a workspace that operators wrote as an object is the same one") {
-  Directory directory;
+  WorkspaceDirectory directory;
   Workspace configured = Named("kennel", {"k1"});
   configured.rate = {.per_second = 5, .burst = 2};
   configured.priority = 1;
--- a/libs/workspaces/tests/other_quotas.h
+++ b/libs/workspaces/tests/other_quotas.h
@@ -21,34 +21,34 @@
 // about what it has not.
 class GossipQuota {
  public:
-  GossipQuota(const RateQuotaSettings& settings, EntryHash /*own*/,
+  GossipQuota(const RateQuotaSettings& settings, GatewayHash /*own*/,
               uint64_t /*seed*/, TimePoint /*started_at*/)
       : settings_(settings), window_(settings.window) {}
 
-  void SetMembers(const std::vector<EntryHash>& /*others*/, TimePoint /*now*/) {
-  }
+  void SetMembers(const std::vector<GatewayHash>& /*others*/,
+                  TimePoint /*now*/) {}
   void OnPaused() {}
   void Expire(TimePoint now) {
     std::erase_if(heard_, [&](const auto& peer) {
       return now - peer.second.heard_at > settings_.window;
     });
   }
-  RateAnswer Admit(WorkspaceHash /*workspace*/, const RateLimit& limit,
-                   TimePoint now) {
+  RateDecision Admit(WorkspaceHash /*workspace*/, const RateLimit& limit,
+                     TimePoint now) {
     double known = window_.CountIn(settings_.window, now);
     double second = window_.CountIn(kSecond, now);
     for (const auto& [entry, peer] : heard_) {
       known += peer.count.in_window();
       second += peer.count.in_spans.front();
     }
-    if (known + 1 > limit.MostIn(ToSeconds(settings_.window)) ||
-        second + 1 > limit.MostIn(1)) {
+    if (known + 1 > limit.MaxRequestsIn(ToSeconds(settings_.window)) ||
+        second + 1 > limit.MaxRequestsIn(1)) {
       return {.verdict = RateVerdict::kOverRate};
     }
     window_.Add(now);
     return {};
   }
-  void OnReport(EntryHash entry, uint64_t /*start*/, const RateReport& report,
+  void OnReport(GatewayHash entry, uint64_t /*start*/, const RateReport& report,
                 bool /*partial*/, TimePoint now) {
     heard_[entry] = {now, report.admitted.empty() ? AdmittedCount{}
                                                   : report.admitted.front()};
@@ -69,7 +69,7 @@
   };
   RateQuotaSettings settings_;
   AdmissionWindow window_;
-  std::map<EntryHash, Heard> heard_;
+  std::map<GatewayHash, Heard> heard_;
 };
 
 // One entry, the one of the lowest name among those that are heard, fills a
@@ -78,11 +78,11 @@
 // its part of the rate.
 class LeaseQuota {
  public:
-  LeaseQuota(const RateQuotaSettings& /*settings*/, EntryHash own,
+  LeaseQuota(const RateQuotaSettings& /*settings*/, GatewayHash own,
              uint64_t /*seed*/, TimePoint started_at)
       : own_(own), asked_(kSecond), filled_at_(started_at) {}
 
-  void SetMembers(const std::vector<EntryHash>& others, TimePoint /*now*/) {
+  void SetMembers(const std::vector<GatewayHash>& others, TimePoint /*now*/) {
     entries_ = static_cast<double>(others.size() + 1);
   }
   void OnPaused() { heard_.clear(); }
@@ -91,8 +91,8 @@
       return now - peer.second.heard_at > kGrantEnds;
     });
   }
-  RateAnswer Admit(WorkspaceHash /*workspace*/, const RateLimit& limit,
-                   TimePoint now) {
+  RateDecision Admit(WorkspaceHash /*workspace*/, const RateLimit& limit,
+                     TimePoint now) {
     limit_ = limit;
     asked_.Add(now);
     if (now >= granted_until_) {
@@ -105,15 +105,15 @@
     tokens_ -= 1;
     return {};
   }
-  void OnReport(EntryHash entry, uint64_t /*start*/, const RateReport& report,
+  void OnReport(GatewayHash entry, uint64_t /*start*/, const RateReport& report,
                 bool partial, TimePoint now) {
     Heard& heard = heard_[entry];
     heard.heard_at = now;
     if (!report.admitted.empty())
       heard.asked = report.admitted.front().in_spans.front();
     if (partial || entry != Grantor()) return;
-    for (const FormerCount& grant : report.former) {
-      if (grant.entry == own_) Take(grant.in_window, now);
+    for (const PreviousProcessCount& grant : report.previous_processes) {
+      if (grant.gateway == own_) Take(grant.in_window, now);
     }
   }
   RateReport Report(TimePoint now) {
@@ -130,7 +130,7 @@
     for (const auto& [entry, heard] : heard_) {
       const auto grant = static_cast<uint32_t>(level * heard.asked / all);
       if (grant == 0) continue;
-      report.former.push_back({entry, 7, grant});
+      report.previous_processes.push_back({entry, 7, grant});
       level_ -= grant;
     }
     const double own_grant = level * own_asked / all;
@@ -152,7 +152,7 @@
     TimePoint heard_at{};
     uint32_t asked = 0;
   };
-  EntryHash Grantor() const {
+  GatewayHash Grantor() const {
     return heard_.empty() ? own_ : std::min(own_, heard_.begin()->first);
   }
   void Take(double grant, TimePoint now) {
@@ -161,7 +161,7 @@
     part_at_ = granted_until_;
   }
 
-  EntryHash own_;
+  GatewayHash own_;
   AdmissionWindow asked_;
   RateLimit limit_;
   double entries_ = 1;
@@ -170,7 +170,7 @@
   TimePoint part_at_{};
   double level_ = 0;
   TimePoint filled_at_;
-  std::map<EntryHash, Heard> heard_;
+  std::map<GatewayHash, Heard> heard_;
 };
 
 }  // namespace knapweedstile::workspaces
--- a/libs/workspaces/tests/rate_model.h
+++ b/libs/workspaces/tests/rate_model.h
@@ -121,7 +121,7 @@
   static TimePoint At(Time now) {
     return TimePoint{} + std::chrono::hours(1) + now;
   }
-  static EntryHash Name(size_t entry) {
+  static GatewayHash Name(size_t entry) {
     return Hash64("entry-" + std::to_string(entry));
   }
 
@@ -137,7 +137,7 @@
   }
 
   void ListFleet(size_t i, Time now) {
-    std::vector<EntryHash> others;
+    std::vector<GatewayHash> others;
     for (size_t other = 0; other < load_.entries; ++other) {
       if (other != i) others.push_back(Name(other));
     }
@@ -244,7 +244,8 @@
         ++result.ideal_in_window;
         ideal_in_window_.push_back(now);
       }
-      const RateAnswer answer = entry.quota->Admit(kWorkspace, limit, At(now));
+      const RateDecision answer =
+          entry.quota->Admit(kWorkspace, limit, At(now));
       if (answer.verdict == RateVerdict::kAdmitted) {
         entry.dirty = true;
         ++result.admitted;
@@ -259,7 +260,7 @@
                    const RateLimit& limit) {
     return std::all_of(seconds.begin(), seconds.end(), [&](int span) {
       const Time from = now - std::chrono::seconds(span);
-      return CountSince(admitted, from, now) + 1 <= limit.MostIn(span);
+      return CountSince(admitted, from, now) + 1 <= limit.MaxRequestsIn(span);
     });
   }
   static double CountSince(const std::vector<Time>& times, Time from,
@@ -276,7 +277,8 @@
       double most = LimitAt(end - begin).MostIn(5);
       for (const auto& [from, limit] : limits) {
         if (from <= end - begin && from > end - begin - Time(6000)) {
-          most = std::max({most, load_.limit.MostIn(5), limit.MostIn(5)});
+          most =
+              std::max({most, load_.limit.MostIn(5), limit.MaxRequestsIn(5)});
         }
       }
       const double count = CountSince(admitted_, end - Time(5000), end);
--- a/libs/workspaces/tests/rate_quota_test.cc
+++ b/libs/workspaces/tests/rate_quota_test.cc
@@ -268,7 +268,7 @@
   RateQuota quota({}, 1, 1, now - std::chrono::seconds(60));
   quota.SetMembers({}, now);
   const RateLimit limit{.per_second = 1, .burst = 0};
-  RateAnswer answer;
+  RateDecision answer;
   int admitted = -1;
   for (; answer.verdict == RateVerdict::kAdmitted; ++admitted) {
     answer = quota.Admit(7, limit, now);
@@ -278,7 +278,7 @@
   CHECK(admitted <= 5 * 1.1 + 20);
   CHECK(answer.verdict == RateVerdict::kOverRate);
   CHECK(answer.retry_after >= std::chrono::seconds(1));
-  quota.GiveBack(7, now, now);
+  quota.Refund(7, now, now);
   CHECK(quota.Admit(7, limit, now).verdict == RateVerdict::kAdmitted);
 }
 
@@ -291,7 +291,7 @@
   const RateLimit limit{.per_second = 10, .burst = 0};
   std::vector<Duration> returns;
   while (returns.size() < 100) {
-    const RateAnswer answer = quota.Admit(7, limit, now);
+    const RateDecision answer = quota.Admit(7, limit, now);
     if (answer.verdict != RateVerdict::kAdmitted) {
       returns.push_back(answer.retry_after);
     }
--- a/tests/users_platform/kind_mirror_test.cc
+++ b/tests/users_platform/kind_mirror_test.cc
@@ -34,7 +34,7 @@
            },
        .changed =
            [&](platform::StoredObject&& object) { seen.insert(object.name); },
-       .read =
+       .read_completed =
            [&](TimePoint /*began*/) {
              ++reads;
              seen_at_last_read = seen.size();
@@ -46,7 +46,7 @@
   for (size_t i = 0; i < kMany; ++i) {
     store.Put(kKind, "record-" + std::to_string(i), {});
   }
-  mirror.Poke();
+  mirror.SkipPause();
   const TimePoint limit = MonotonicNow() + std::chrono::seconds(5);
   caller.RunUntil(
       [&] { return seen.size() == kMany + 1 || MonotonicNow() > limit; });
@@ -65,7 +65,7 @@
   store.DelayLists(std::chrono::milliseconds(1500));
   StoreCalls calls(caller.io(), store.address());
   size_t listed = 0;
-  KindMirror mirror(caller.io(), calls, {.kind = kKind, .large = true},
+  KindMirror mirror(caller.io(), calls, {.kind = kKind, .large_kind = true},
                     {.listed =
                          [&](std::vector<platform::StoredObject>&& objects) {
                            listed += objects.size();
@@ -102,7 +102,7 @@
   StoreCalls calls(caller.io(), store.address());
   std::set<std::string> seen;
   std::set<std::string> removed;
-  std::vector<StoreNews> later;  // of the reader
+  std::vector<StoreUpdate> later;  // of the reader
   const auto note = [&](platform::StoredObject&& object) {
     (object.deleted ? removed : seen).insert(object.name);
   };
@@ -110,14 +110,14 @@
       caller.io(), calls, {.kind = kKind},
       {.listed = [](std::vector<platform::StoredObject>&&) {},
        .changed = [](platform::StoredObject&&) {},
-       .news = [&](const StoreNews& news) { later.push_back(news); }});
+       .update_read = [&](const StoreUpdate& news) { later.push_back(news); }});
   StoreCalls fed_calls(caller.io(), store.address());
   KindMirror fed(caller.io(), fed_calls,
                  {.kind = kKind, .watch_wait = std::chrono::milliseconds(100)},
                  {.listed = [](std::vector<platform::StoredObject>&&) {},
                   .changed = note});
   store.Put(kKind, "before", {});
-  fed.SetFed(true);
+  fed.SetReceivesUpdates(true);
   fed.Start();
   reader.Start();
   REQUIRE(caller.RunUntil([&] { return fed.listed() && reader.listed(); }));
@@ -130,23 +130,23 @@
   };
   put("a");
   CHECK(seen.empty());
-  fed.OnNews(StoreNews(later.back()));
+  fed.OnStoreUpdate(StoreUpdate(later.back()));
   CHECK(seen == std::set<std::string>{"a"});
   CHECK(fed_calls.calls() == calls_of_start);
   // The same from the other reader changes nothing.
-  fed.OnNews(StoreNews(later.back()));
+  fed.OnStoreUpdate(StoreUpdate(later.back()));
   CHECK(fed_calls.calls() == calls_of_start);
 
   // The news of "b" are lost.
   put("b");
   put("c");
-  fed.OnNews(StoreNews(later.back()));
+  fed.OnStoreUpdate(StoreUpdate(later.back()));
   CHECK(caller.RunUntil([&] { return seen.size() == 3; }));
   CHECK(fed_calls.calls() == calls_of_start + 1);
 
   // Without readers it follows the store by itself.
   put("d");
-  fed.SetFed(false);
+  fed.SetReceivesUpdates(false);
   CHECK(caller.RunUntil([&] { return seen.contains("d"); }));
   store.Put(kKind, "e", {});
   CHECK(caller.RunUntil([&] { return seen.contains("e"); }));
@@ -169,8 +169,8 @@
   store.Put(kKind, "first", {});
   REQUIRE(caller.RunUntil([&] { return seen.contains("first"); }));
   const uint64_t known = mirror.newest_change();
-  mirror.SetFed(true);
-  mirror.OnNews(
+  mirror.SetReceivesUpdates(true);
+  mirror.OnStoreUpdate(
       {.kind = kKind,
        .after = known,
        .as_of = known + 1,
