--- a/libs/gateway/src/batch/native_batch_api.cc
+++ b/libs/gateway/src/batch/native_batch_api.cc
@@ -12,7 +12,7 @@
 
 #include "base/error.h"
 #include "base/hash.h"
-#include "callers/error_answer.h"
+#include "callers/error_response.h"
 #include "users_platform/batch_calls.h"
 
 namespace knapweedstile::gateway {
--- a/libs/gateway/src/callers/caller_identity.cc
+++ b/libs/gateway/src/callers/caller_identity.cc
@@ -6,7 +6,7 @@
 
 #include "users_platform/request_headers.h"
 #include "workspaces/credentials.h"
-#include "workspaces/directory.h"
+#include "workspaces/workspace_directory.h"
 
 namespace knapweedstile::gateway {
 namespace {
--- a/libs/gateway/src/callers/error_answer.cc
+++ b/libs/gateway/src/callers/error_response.cc
@@ -1,4 +1,4 @@
-#include "callers/error_answer.h"
+#include "callers/error_response.h"
 
 #include <fmt/format.h>
 
--- a/libs/gateway/src/callers/error_answer.h
+++ b/libs/gateway/src/callers/error_response.h
@@ -1,5 +1,5 @@
-#ifndef KNAPWEEDSTILE_GATEWAY_ERROR_ANSWER_H_
-#define KNAPWEEDSTILE_GATEWAY_ERROR_ANSWER_H_
+#ifndef KNAPWEEDSTILE_GATEWAY_ERROR_RESPONSE_H_
+#define KNAPWEEDSTILE_GATEWAY_ERROR_RESPONSE_H_
 
 #include <optional>
 #include <string>
@@ -31,4 +31,4 @@
 
 }  // namespace knapweedstile::gateway
 
-#endif  // KNAPWEEDSTILE_GATEWAY_ERROR_ANSWER_H_
+#endif  // KNAPWEEDSTILE_GATEWAY_ERROR_RESPONSE_H_
--- a/libs/gateway/src/callers/intake.cc
+++ b/libs/gateway/src/callers/request_admission.cc
@@ -1,4 +1,4 @@
-#include "callers/intake.h"
+#include "callers/request_admission.h"
 
 #include <fmt/format.h>
 
--- a/libs/gateway/src/callers/intake.h
+++ b/libs/gateway/src/callers/request_admission.h
@@ -1,5 +1,5 @@
-#ifndef KNAPWEEDSTILE_GATEWAY_INTAKE_H_
-#define KNAPWEEDSTILE_GATEWAY_INTAKE_H_
+#ifndef KNAPWEEDSTILE_GATEWAY_REQUEST_ADMISSION_H_
+#define KNAPWEEDSTILE_GATEWAY_REQUEST_ADMISSION_H_
 
 #include <cstdint>
 #include <functional>
@@ -8,15 +8,15 @@
 
 #include "base/time.h"
 #include "callers/caller_identity.h"
-#include "callers/error_answer.h"
+#include "callers/error_response.h"
 #include "http/server_command.h"
 #include "http/server_event.h"
 #include "observe/metrics.h"
 #include "serving/route.h"
 #include "serving/route_table.h"
 #include "users_platform/batch_calls.h"
-#include "workspaces/directory.h"
 #include "workspaces/rate_quota.h"
+#include "workspaces/workspace_directory.h"
 
 namespace knapweedstile::gateway {
 
@@ -94,4 +94,4 @@
 
 }  // namespace knapweedstile::gateway
 
-#endif  // KNAPWEEDSTILE_GATEWAY_INTAKE_H_
+#endif  // KNAPWEEDSTILE_GATEWAY_REQUEST_ADMISSION_H_
--- a/libs/gateway/src/gateway.h
+++ b/libs/gateway/src/gateway.h
@@ -18,7 +18,7 @@
 #include "batch/record_kinds.h"
 #include "batch/record_reader.h"
 #include "batch/result_committer.h"
-#include "callers/intake.h"
+#include "callers/request_admission.h"
 #include "cluster/fleet_view.h"
 #include "gateway/gateway_settings.h"
 #include "http/server.h"
@@ -45,8 +45,8 @@
 #include "store/store_calls.h"
 #include "store/store_follower.h"
 #include "store/store_relay.h"
-#include "workspaces/directory.h"
 #include "workspaces/rate_quota.h"
+#include "workspaces/workspace_directory.h"
 
 namespace knapweedstile::gateway {
 
--- a/libs/gateway/src/gateway_fleet.cc
+++ b/libs/gateway/src/gateway_fleet.cc
@@ -5,7 +5,7 @@
 #include "base/hash.h"
 #include "base/log.h"
 #include "batch/job_call.h"
-#include "callers/error_answer.h"
+#include "callers/error_response.h"
 #include "gateway.h"
 #include "peers/member_records.h"
 #include "platform/store_request.h"
--- a/libs/gateway/src/online/online_calls.cc
+++ b/libs/gateway/src/online/online_calls.cc
@@ -6,7 +6,7 @@
 #include "base/clock.h"
 #include "base/hash.h"
 #include "base/log.h"
-#include "callers/error_answer.h"
+#include "callers/error_response.h"
 #include "online/online_limits.h"
 #include "users_platform/request_headers.h"
 
--- a/libs/gateway/src/operators/workspaces_page.cc
+++ b/libs/gateway/src/operators/workspaces_page.cc
@@ -7,8 +7,8 @@
 #include <vector>
 
 #include "base/hash.h"
-#include "workspaces/directory.h"
 #include "workspaces/rate_quota.h"
+#include "workspaces/workspace_directory.h"
 
 namespace knapweedstile::gateway {
 namespace {
--- a/libs/workspaces/include/workspaces/rate_answer.h
+++ b/libs/workspaces/include/workspaces/rate_decision.h
@@ -1,5 +1,5 @@
-#ifndef KNAPWEEDSTILE_WORKSPACES_RATE_ANSWER_H_
-#define KNAPWEEDSTILE_WORKSPACES_RATE_ANSWER_H_
+#ifndef KNAPWEEDSTILE_WORKSPACES_RATE_DECISION_H_
+#define KNAPWEEDSTILE_WORKSPACES_RATE_DECISION_H_
 
 #include <array>
 #include <cstdint>
@@ -40,4 +40,4 @@
 
 }  // namespace knapweedstile
 
-#endif  // KNAPWEEDSTILE_WORKSPACES_RATE_ANSWER_H_
+#endif  // KNAPWEEDSTILE_WORKSPACES_RATE_DECISION_H_
--- a/libs/workspaces/include/workspaces/rate_quota.h
+++ b/libs/workspaces/include/workspaces/rate_quota.h
@@ -13,7 +13,7 @@
 #include "base/rng.h"
 #include "base/time.h"
 #include "workspaces/admission_window.h"
-#include "workspaces/rate_answer.h"
+#include "workspaces/rate_decision.h"
 #include "workspaces/rate_limit.h"
 #include "workspaces/rate_quota_settings.h"
 #include "workspaces/rate_report.h"
--- a/libs/workspaces/src/directory.cc
+++ b/libs/workspaces/src/workspace_directory.cc
@@ -1,4 +1,4 @@
-#include "workspaces/directory.h"
+#include "workspaces/workspace_directory.h"
 
 #include <algorithm>
 #include <utility>
--- a/libs/workspaces/tests/other_quotas.h
+++ b/libs/workspaces/tests/other_quotas.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "workspaces/admission_window.h"
-#include "workspaces/rate_answer.h"
+#include "workspaces/rate_decision.h"
 #include "workspaces/rate_limit.h"
 #include "workspaces/rate_quota_settings.h"
 #include "workspaces/rate_report.h"
--- a/libs/workspaces/tests/directory_test.cc
+++ b/libs/workspaces/tests/workspace_directory_test.cc
@@ -1,4 +1,4 @@
-#include "workspaces/directory.h"
+#include "workspaces/workspace_directory.h"
 
 #include <catch2/catch.hpp>
 #include <string>
