--- a/bench/slots_bench.cc
+++ b/bench/slots_bench.cc
@@ -36,9 +36,10 @@
 void Table(const char* title, const FleetModel::Settings& settings) {
   const Rule rules[] = {
       {"least used server, as seen", [](auto& s) { s.least_used_rule = true; }},
-      {"no slot kept for online", [](auto& s) { s.board.batch_reserve = 0; }},
+      {"no slot kept for online",
+       [](auto& s) { s.scheduler.batch_reserve = 0; }},
       {"free slot before an own item's",
-       [](auto& s) { s.board.scarce_factor = 0; }},
+       [](auto& s) { s.scheduler.scarce_factor = 0; }},
       {"items are not withdrawn from queues",
        [](auto& s) { s.withdraw_seconds = 1e6; }},
       {"the board as it stands", [](auto&) {}}};
--- a/libs/gateway/src/batch/batch_api.cc
+++ b/libs/gateway/src/batch/batch_api.cc
@@ -232,7 +232,7 @@
 void BatchApi::Expire(TimePoint now) {
   std::vector<std::pair<std::string, PendingRead>> over;
   std::erase_if(pending_reads_, [&](const auto& entry) {
-    if (entry.second.answer_at > now) return false;
+    if (entry.second.respond_at > now) return false;
     over.push_back(entry);
     return true;
   });
--- a/libs/gateway/src/batch/native_batch_api.cc
+++ b/libs/gateway/src/batch/native_batch_api.cc
@@ -226,7 +226,7 @@
                    .code = "no_batch_route",
                    .message = "no batch route for /v1/batches/ on this host",
                    .request_id = caller.request_id,
-                   .execution = RunTruth::kNotExecuted}));
+                   .execution = ExecutionStatus::kNotExecuted}));
   }
   const std::string id = IdOfSubmission(request, caller);
   boost::leaf::try_handle_all(
@@ -259,7 +259,7 @@
                                  .code = "invalid_batch",
                                  .message = error.message,
                                  .request_id = caller.request_id,
-                                 .execution = RunTruth::kNotExecuted}));
+                                 .execution = ExecutionStatus::kNotExecuted}));
       },
       [] {});
 }
@@ -270,7 +270,7 @@
   ErrorResponse error{.code = NameOf(outcome),
                       .message = "send the same job again with its key",
                       .request_id = caller.request_id,
-                      .execution = RunTruth::kNotExecuted,
+                      .execution = ExecutionStatus::kNotExecuted,
                       .retry_after = kRetry};
   switch (outcome) {
     case SubmitOutcome::kAccepted:
@@ -288,7 +288,7 @@
       break;
     case SubmitOutcome::kUnknown:
       error.status = 504;
-      error.execution = RunTruth::kUnknown;
+      error.execution = ExecutionStatus::kUnknown;
       break;
   }
   callbacks_.to_caller(ToCommand(exchange, error));
--- a/libs/gateway/src/callers/caller_identity.cc
+++ b/libs/gateway/src/callers/caller_identity.cc
@@ -13,8 +13,8 @@
 
 namespace json = boost::json;
 using workspaces::Credentials;
-using workspaces::Directory;
 using workspaces::Workspace;
+using workspaces::WorkspaceDirectory;
 
 std::optional<Duration> OwnBudget(const http::HeaderList& headers) {
   const std::string_view text = headers.Find("X-Deadline-Ms");
@@ -37,8 +37,8 @@
 }
 
 // Without a key: a workspace that has none is entered by its name.
-void EnterByName(const http::HeaderList& headers, const Directory& workspaces,
-                 CallerIdentity& caller) {
+void EnterByName(const http::HeaderList& headers,
+                 const WorkspaceDirectory& workspaces, CallerIdentity& caller) {
   if (workspaces.needs_key()) {
     caller.access = CallerAccess::kNoKey;
     return;
@@ -54,8 +54,8 @@
 }
 
 // Where no workspace has a key, a caller's key is of no concern here.
-void Enter(const http::HeaderList& headers, const Directory& workspaces,
-           CallerIdentity& caller) {
+void Enter(const http::HeaderList& headers,
+           const WorkspaceDirectory& workspaces, CallerIdentity& caller) {
   const Credentials credentials = workspaces::ReadCredentials(headers);
   const bool keys_matter = workspaces.needs_key() || workspaces.has_keys();
   if (!credentials.present || !keys_matter) {
@@ -74,7 +74,7 @@
 }  // namespace
 
 CallerIdentity ReadCaller(const http::HeaderList& headers,
-                          const Directory& workspaces,
+                          const WorkspaceDirectory& workspaces,
                           const std::string& made_id) {
   const auto platform = users_platform::DecodeCaller(headers);
   CallerIdentity caller{.host = platform.host,
@@ -89,7 +89,7 @@
 }
 
 bool IsModelAllowed(std::string_view body, const CallerIdentity& caller,
-                    const Directory& workspaces) {
+                    const WorkspaceDirectory& workspaces) {
   const Workspace* workspace = workspaces.Find(caller.workspace);
   if (!workspace || workspace->models.empty()) return true;
   const std::vector<std::string>& models = workspace->models;
--- a/libs/gateway/src/callers/error_response.cc
+++ b/libs/gateway/src/callers/error_response.cc
@@ -25,8 +25,10 @@
                          {"code", error.code},
                          {"message", error.message},
                          {"request_id", error.request_id}};
-  if (error.execution == RunTruth::kNotExecuted) fields["not_run"] = true;
-  if (error.execution == RunTruth::kUnknown) fields["outcome"] = "unknown";
+  if (error.execution == ExecutionStatus::kNotExecuted)
+    fields["not_run"] = true;
+  if (error.execution == ExecutionStatus::kUnknown)
+    fields["outcome"] = "unknown";
   http::RespondCommand command{.exchange = exchange, .status = error.status};
   command.headers.Add("Content-Type", "application/json");
   command.headers.Add("X-Request-Id", error.request_id);
--- a/libs/gateway/src/callers/error_response.h
+++ b/libs/gateway/src/callers/error_response.h
@@ -22,7 +22,7 @@
   std::string_view code;  // stable, for programs
   std::string_view message;
   std::string request_id;
-  RunTruth execution = RunTruth::kNotApplicable;
+  ExecutionStatus execution = ExecutionStatus::kNotApplicable;
   std::optional<Duration> retry_after;
 };
 
--- a/libs/gateway/src/callers/request_admission.cc
+++ b/libs/gateway/src/callers/request_admission.cc
@@ -16,7 +16,7 @@
 
 using serving::Route;
 using serving::RouteKind;
-using workspaces::RateAnswer;
+using workspaces::RateDecision;
 using workspaces::RateVerdict;
 
 constexpr unsigned kUnauthorized = 401;
@@ -112,7 +112,7 @@
   metrics_.Add("knap_turned_away_total", {std::string(cause)});
   ErrorResponse answer = error;
   answer.request_id = identity.request_id;
-  answer.execution = RunTruth::kNotExecuted;
+  answer.execution = ExecutionStatus::kNotExecuted;
   callbacks_.to_caller(ToCommand(request.exchange, answer));
 }
 
@@ -183,7 +183,7 @@
                                  const CallerIdentity& identity) {
   const workspaces::Workspace* workspace = workspaces_.Find(identity.workspace);
   if (!workspace || !workspace->rate.limited()) return true;
-  const RateAnswer answer =
+  const RateDecision answer =
       rate_.Admit(Hash64(workspace->name), workspace->rate, MonotonicNow());
   if (answer.verdict == RateVerdict::kAdmitted) return true;
   LogInfo("over_rate",
@@ -202,7 +202,7 @@
                       .code = "rate_limit_exceeded",
                       .message = "the workspace has sent more than its rate",
                       .request_id = identity.request_id,
-                      .execution = RunTruth::kNotExecuted,
+                      .execution = ExecutionStatus::kNotExecuted,
                       .retry_after = answer.retry_after};
   callbacks_.to_caller(ToCommand(request.exchange, error));
   return false;
--- a/libs/gateway/src/gateway_fleet.cc
+++ b/libs/gateway/src/gateway_fleet.cc
@@ -184,7 +184,7 @@
                                      .code = "fleet_unknown",
                                      .message = "this gateway has just started",
                                      .request_id = caller.request_id,
-                                     .execution = RunTruth::kNotExecuted,
+                                     .execution = ExecutionStatus::kNotExecuted,
                                      .retry_after = kUnknownFleetRetry}));
   }
   return false;
--- a/libs/gateway/src/online/online_calls.cc
+++ b/libs/gateway/src/online/online_calls.cc
@@ -176,7 +176,7 @@
                               .code = cause,
                               .message = "it was not run",
                               .request_id = call.request_id,
-                              .execution = RunTruth::kNotExecuted,
+                              .execution = ExecutionStatus::kNotExecuted,
                               .retry_after = retry_after}));
   Finish(call, kUnavailable, cause);
 }
@@ -191,7 +191,7 @@
                                 .code = cause,
                                 .message = "it may have run",
                                 .request_id = call.request_id,
-                                .execution = RunTruth::kUnknown}));
+                                .execution = ExecutionStatus::kUnknown}));
   }
   Finish(call, status, cause);
 }
--- a/libs/gateway/src/peers/sync_tracker.cc
+++ b/libs/gateway/src/peers/sync_tracker.cc
@@ -140,7 +140,7 @@
 bool SyncTracker::HasGap(TimePoint now) const {
   return std::any_of(peers_.begin(), peers_.end(), [now](const auto& e) {
     return e.second.behind() &&
-           now - e.second.untaken.front().at >= kLongestGap;
+           now - e.second.pending.front().advertised_at >= kLongestGap;
   });
 }
 
--- a/libs/serving/include/serving/slot_scheduler.h
+++ b/libs/serving/include/serving/slot_scheduler.h
@@ -168,8 +168,8 @@
   bool IsPreferred(const Server& a, uint32_t use_a, const Server& b,
                    uint32_t use_b);
   enum class Locality { kSameCell, kOtherCell };
-  static bool HasLocality(const Server& server, Reach reach) {
-    return server.in_cell == (reach == Reach::kSameCell);
+  static bool HasLocality(const Server& server, Locality reach) {
+    return server.in_cell == (reach == Locality::kSameCell);
   }
   // Slots that are free beyond `reserve`, as a weight; online requests.
   double FreeWeight(const Server& server, uint32_t reserve) const;
@@ -184,7 +184,7 @@
   uint32_t BatchHeadroom(const Server& server) const;
   decide::BatchLimit LimitOf(const Server& server) const;
   // Items that this entry may start within `reach` until others know of it.
-  double TotalBatchHeadroom(std::string_view service, Reach reach,
+  double TotalBatchHeadroom(std::string_view service, Locality reach,
                             TimePoint now) const;
   // Entries whose changes come here at once, this one included.
   size_t GatewaysInCell() const;
--- a/libs/serving/src/slot_scheduler.cc
+++ b/libs/serving/src/slot_scheduler.cc
@@ -290,12 +290,12 @@
       return PreemptBatch(*server);
     }
   }
-  const auto draw_free = [&](Reach reach, uint32_t reserve) {
+  const auto draw_free = [&](Locality reach, uint32_t reserve) {
     return PickWeighted(service, excluded, now, [&](const Server& server) {
       return HasLocality(server, reach) ? FreeWeight(server, reserve) : 0.0;
     });
   };
-  const auto draw_batch = [&](Reach reach) {
+  const auto draw_batch = [&](Locality reach) {
     return PickWeighted(service, excluded, now, [&](const Server& server) {
       return HasLocality(server, reach) ? PreemptionWeight(server) : 0.0;
     });
@@ -303,14 +303,15 @@
   const auto take = [](const Server& server) {
     return Placement{.outcome = PlacementOutcome::kPlaced, .server = server.id};
   };
-  if (Server* server = draw_free(Reach::kSameCell, 0)) return take(*server);
-  if (Server* server = draw_free(Reach::kOtherCell, settings_.remote_reserve)) {
+  if (Server* server = draw_free(Locality::kSameCell, 0)) return take(*server);
+  if (Server* server =
+          draw_free(Locality::kOtherCell, settings_.remote_reserve)) {
     return take(*server);
   }
-  if (Server* server = draw_batch(Reach::kSameCell))
+  if (Server* server = draw_batch(Locality::kSameCell))
     return PreemptBatch(*server);
-  if (Server* server = draw_free(Reach::kOtherCell, 0)) return take(*server);
-  if (Server* server = draw_batch(Reach::kOtherCell))
+  if (Server* server = draw_free(Locality::kOtherCell, 0)) return take(*server);
+  if (Server* server = draw_batch(Locality::kOtherCell))
     return PreemptBatch(*server);
   Server* least = LeastUsed(service, excluded, now);
   if (!least) {
--- a/libs/serving/src/slot_scheduler_batch.cc
+++ b/libs/serving/src/slot_scheduler_batch.cc
@@ -59,7 +59,7 @@
 BackendServerId SlotScheduler::PlaceBatch(
     std::string_view service, std::span<const BackendServerId> excluded,
     TimePoint now) {
-  for (const Reach reach : {Reach::kSameCell, Reach::kOtherCell}) {
+  for (const Locality reach : {Locality::kSameCell, Locality::kOtherCell}) {
     const auto room = [this, reach](const Server& server) {
       if (!HasLocality(server, reach)) return 0.0;
       return BatchHeadroom(server) * ZoneFactor(server);
@@ -70,8 +70,8 @@
   return {};
 }
 
-double SlotScheduler::TotalBatchHeadroom(std::string_view service, Reach reach,
-                                         TimePoint now) const {
+double SlotScheduler::TotalBatchHeadroom(std::string_view service,
+                                         Locality reach, TimePoint now) const {
   uint32_t room = 0;
   for (const auto& [id, server] : servers_) {
     if (!HasLocality(server, reach) || !Usable(server, service, {})) continue;
@@ -86,9 +86,9 @@
   const size_t near =
       gateways_in_cell_ == 0 ? all : std::min(all, gateways_in_cell_);
   constexpr double kMostOfRoom = 0.5;
-  const double share = TotalBatchHeadroom(service, Reach::kSameCell, now) /
+  const double share = TotalBatchHeadroom(service, Locality::kSameCell, now) /
                            static_cast<double>(near) +
-                       TotalBatchHeadroom(service, Reach::kOtherCell, now) /
+                       TotalBatchHeadroom(service, Locality::kOtherCell, now) /
                            static_cast<double>(all);
   return 1 + static_cast<uint32_t>(kMostOfRoom * share);
 }
--- a/libs/workspaces/src/rate_quota.cc
+++ b/libs/workspaces/src/rate_quota.cc
@@ -350,7 +350,7 @@
   });
   std::erase_if(own_, [this, now](const auto& entry) {
     return now - entry.second.used_at >= settings_.window + kSecond &&
-           entry.second.last_return_at <= now && !entry.second.changed;
+           entry.second.last_retry_at <= now && !entry.second.changed;
   });
 }
 
--- a/libs/workspaces/tests/other_quotas.h
+++ b/libs/workspaces/tests/other_quotas.h
@@ -53,13 +53,13 @@
     heard_[entry] = {now, report.admitted.empty() ? AdmittedCount{}
                                                   : report.admitted.front()};
   }
-  RateReport Report(TimePoint now) const {
+  RateReport FullReport(TimePoint now) const {
     AdmittedCount count{.workspace = 7};
     count.in_spans.front() = window_.CountIn(kSecond, now);
     count.in_spans.back() = window_.CountIn(settings_.window, now);
     return {.admitted = {count}};
   }
-  RateReport TakeChanges(TimePoint now) const { return Report(now); }
+  RateReport TakeDeltaReport(TimePoint now) const { return FullReport(now); }
 
  private:
   static constexpr std::chrono::seconds kSecond{1};
@@ -116,7 +116,7 @@
       if (grant.gateway == own_) Take(grant.in_window, now);
     }
   }
-  RateReport Report(TimePoint now) {
+  RateReport FullReport(TimePoint now) {
     RateReport report{.admitted = {AskedAt(now)}};
     if (Grantor() != own_) return report;
     level_ = std::min(limit_.burst + limit_.per_second / 4,
@@ -138,7 +138,7 @@
     Take(own_grant, now);
     return report;
   }
-  RateReport TakeChanges(TimePoint now) const {
+  RateReport TakeDeltaReport(TimePoint now) const {
     return {.admitted = {AskedAt(now)}};
   }
 
--- a/libs/workspaces/tests/rate_model.h
+++ b/libs/workspaces/tests/rate_model.h
@@ -163,15 +163,15 @@
 
   void Send(size_t from, bool partial, Time now, Result& result) {
     Entry& entry = entries_[from];
-    auto report =
-        std::make_shared<RateReport>(partial ? entry.quota->TakeChanges(At(now))
-                                             : entry.quota->Report(At(now)));
+    auto report = std::make_shared<RateReport>(
+        partial ? entry.quota->TakeDeltaReport(At(now))
+                : entry.quota->FullReport(At(now)));
     for (size_t to = 0; to < entries_.size(); ++to) {
       if (to == from) continue;
       if (partial && to % load_.cells != from % load_.cells) continue;
       ++result.messages;
       result.message_bytes += 4 + 10 * report->admitted.size() +
-                              18 * report->former.size() +
+                              18 * report->previous_processes.size() +
                               8 * report->unreachable.size();
       in_flight_.push_back(
           {now + kDelay, from, to, entry.start, report, partial});
@@ -274,11 +274,11 @@
   // was in force within it.
   void Judge(Time begin, Result& result) const {
     for (const Time end : admitted_) {
-      double most = LimitAt(end - begin).MostIn(5);
+      double most = LimitAt(end - begin).MaxRequestsIn(5);
       for (const auto& [from, limit] : limits) {
         if (from <= end - begin && from > end - begin - Time(6000)) {
-          most =
-              std::max({most, load_.limit.MostIn(5), limit.MaxRequestsIn(5)});
+          most = std::max(
+              {most, load_.limit.MaxRequestsIn(5), limit.MaxRequestsIn(5)});
         }
       }
       const double count = CountSince(admitted_, end - Time(5000), end);
