--- a/libs/serving/include/serving/batch_item.h
+++ b/libs/serving/include/serving/batch_item.h
@@ -8,13 +8,13 @@
 
 namespace knapweedstile::serving {
 
-// One item of a batch job: a request that is run later.
+// One item of a batch job: a request that runs later.
 struct BatchItem {
   std::string id;
   std::string target;
   http::HeaderList headers;
   std::string body;
-  uint64_t tokens = 0;  // of the prompt and the longest output
+  uint64_t tokens = 0;  // prompt and maximum output
 };
 
 }  // namespace knapweedstile::serving
--- a/libs/serving/include/serving/batch_job.h
+++ b/libs/serving/include/serving/batch_job.h
@@ -13,23 +13,23 @@
 
 namespace knapweedstile::serving {
 
-// An accepted batch job as one entry knows it.
+// An accepted batch job as known to one gateway.
 struct BatchJob {
   std::string id;
-  std::string creator;  // the entry that accepted it
+  std::string creator;  // the gateway that accepted it
   std::string host;
-  std::string route;      // name of its route when it was accepted
-  std::string workspace;  // that it was handed in under; empty: none
+  std::string route;      // name of its route at submission
+  std::string workspace;  // of the caller; empty: none
   std::vector<BatchItem> items;
   std::unordered_map<std::string, uint32_t> item_index;
-  std::vector<ItemProgress> progress;  // one for each item
-  // Committed results in order of their positions; they never change.
+  std::vector<ItemProgress> progress;  // one per item
+  // Committed results in commit order; a position never changes.
   std::vector<ItemResult> results;
   uint32_t segments = 0;  // result segments committed
-  bool ended = false;     // its caller wants no more of it
-  TimePoint received_at;  // when this entry first knew of it
-  TimePoint due_at;       // results are wanted by then
-  TimePoint expires_at;   // an item may be given up from then on
+  bool ended = false;     // cancelled or deleted by its caller
+  TimePoint received_at;  // by this gateway
+  TimePoint due_at;       // deadline for all results
+  TimePoint expires_at;   // items may be failed from then on
 
   bool complete() const noexcept { return results.size() >= items.size(); }
   bool open() const noexcept { return !ended && !complete(); }
--- a/libs/serving/include/serving/cell.h
+++ b/libs/serving/include/serving/cell.h
@@ -9,13 +9,13 @@
 
 namespace knapweedstile::serving {
 
-// A group of entries and backend servers. Entries tell each change at one of
-// its servers at once to the entries of its cell; all others hear of it some
-// hundred milliseconds later.
+// A group of gateways and backend servers. A gateway reports each change of
+// usage on a server of its cell at once to the gateways of its cell; all others
+// receive it some hundred milliseconds later.
 struct Cell {
   // Empty: the whole fleet is one cell.
   std::string availability_zone;
-  // A zone with many entries is divided, its servers by a hash.
+  // A zone with many gateways is divided into parts, its servers by a hash.
   uint32_t parts = 1;
   uint32_t part = 0;
 
--- a/libs/serving/include/serving/crash_count.h
+++ b/libs/serving/include/serving/crash_count.h
@@ -5,7 +5,7 @@
 
 namespace knapweedstile::serving {
 
-// How often one entry saw a request break its server.
+// Number of attempts of a request on one gateway that ended without a response.
 struct CrashCount {
   uint64_t fingerprint = 0;  // of host, target and body
   uint32_t breaks = 0;
--- a/libs/serving/include/serving/crash_tracker.h
+++ b/libs/serving/include/serving/crash_tracker.h
@@ -12,34 +12,37 @@
 
 namespace knapweedstile::serving {
 
-// Which requests, by fingerprint, broke the servers that began to run them.
+// Counts, by request fingerprint, the attempts that broke the backend server
+// that ran them, and quarantines requests that do so repeatedly.
 //
-// Load pattern: one request crashes each server that runs it, and its caller
-// sends it again, to any entry. Without a count over all entries each of them
-// would offer it several servers. One break is no proof, since a server that
-// crashes breaks all that it runs; at the third, anywhere in the fleet, the
-// request is turned away for a while. No network, clock or thread.
+// Guards against a request that crashes each server that runs it while its
+// caller retries it at any gateway. Without a count over all gateways each of
+// them would run it on several servers. One broken attempt proves nothing,
+// since a crashing server breaks all requests that it runs; after the third one
+// on any gateway the request is rejected for a while. Pure logic: no I/O, no
+// clock, no threads; the caller passes the time.
 class CrashTracker {
  public:
-  // Commands. An attempt of the request ended without an answer.
+  // Commands. An attempt of the request ended without a response.
   void OnAttemptBroken(uint64_t fingerprint, TimePoint now);
-  // The request was answered: its earlier breaks were a neighbour's fault.
+  // The request got a response: earlier broken attempts were caused by other
+  // requests.
   void OnAnswered(uint64_t fingerprint);
-  // What another entry has counted, whole.
-  void SetPeerCounts(const std::string& entry,
+  // Replaces the counts reported by a peer with its full report.
+  void SetPeerCounts(const std::string& peer,
                      const std::vector<CrashCount>& counts);
-  void RemovePeer(const std::string& entry);
+  void RemovePeer(const std::string& peer);
   void Expire(TimePoint now);
 
   // Queries.
   bool IsQuarantined(uint64_t fingerprint) const;
-  // What this entry has counted, the most broken first, bounded.
+  // Counts of this gateway for its peers, the highest first, at most 32.
   std::vector<CrashCount> OwnCounts() const;
 
  private:
   struct Record {
     uint32_t breaks = 0;
-    TimePoint forget_at;
+    TimePoint expires_at;
   };
 
   std::unordered_map<uint64_t, Record> own_records_;
--- a/libs/serving/include/serving/demand_history.h
+++ b/libs/serving/include/serving/demand_history.h
@@ -8,9 +8,10 @@
 
 namespace knapweedstile::serving {
 
-// How many online requests a backend server had lately: mean and deviation with
-// an exponential memory of some five seconds at ten samples a second, which
-// spans one step up and one down of the usual load (3.0 s and 2.2 s).
+// Mean and standard deviation of the concurrent online requests of a backend
+// server, exponentially weighted. The memory is about five seconds at ten
+// samples a second, which covers one peak and one valley of the usual load (3.0
+// s and 2.2 s).
 class DemandHistory {
  public:
   void Observe(uint32_t online) {
--- a/libs/serving/include/serving/event_stream_reader.h
+++ b/libs/serving/include/serving/event_stream_reader.h
@@ -10,27 +10,27 @@
 
 namespace knapweedstile::serving {
 
-// Cuts a server-sent event stream into whole events.
+// Splits a server-sent event stream into complete events.
 //
-// Failure guarded against: a backend server that breaks off in the middle of an
-// event. Only whole events are given out, so what a caller has received always
-// ends at an event's end and the stream can go on from there elsewhere.
+// Guards against a backend server that disconnects in the middle of an event.
+// Only complete events are returned, so what a caller has received always ends
+// at an event boundary, and the stream can resume there on another server.
 class EventStreamReader {
  public:
   void Append(std::string_view bytes) { buffer_.append(bytes); }
-  // The next whole event, if there is one. Its views stay valid until the next
-  // call of any other member.
+  // The next complete event, if there is one. Its views are valid until the
+  // next call of any other member.
   std::optional<StreamEvent> Next();
-  // Whether bytes of an event that is not whole are left.
+  // Whether the buffer holds bytes of an incomplete event.
   bool HasPartial() const noexcept { return offset_ < buffer_.size(); }
   void Reset();
 
  private:
-  // Length of the event at `offset_` with its empty line; zero: not whole.
+  // Length of the event at `offset_` with its empty line; zero: incomplete.
   size_t CompleteEventLength() const;
 
   std::string buffer_;
-  size_t offset_ = 0;  // bytes before it were given out
+  size_t offset_ = 0;  // start of the bytes not yet returned
 };
 
 }  // namespace knapweedstile::serving
--- a/libs/serving/include/serving/item_progress.h
+++ b/libs/serving/include/serving/item_progress.h
@@ -11,26 +11,28 @@
 
 enum class ItemPhase {
   kWaiting,    // may be started from `not_before` on
-  kRunning,    // at a backend server, for this entry
-  kFinished,   // its result waits to be committed
+  kRunning,    // on a backend server, for this gateway
+  kFinished,   // its result is not committed yet
   kCommitted,  // its result is committed
 };
 
-// What one entry has done for one item. The entry that would go on with it is
-// told of it (progress_update.h); what was not told is lost with the process.
-// The first commit of a result counts, whoever ran the item.
+// Progress of one item on one gateway. The gateway that would take the item
+// over receives it in updates (progress_update.h); what was not sent is lost
+// with the process. The first commit of a result counts, whichever gateway ran
+// the item.
 struct ItemProgress {
   ItemPhase phase = ItemPhase::kWaiting;
   TimePoint not_before{};
-  uint32_t failures = 0;  // answers that count against its attempts
-  uint32_t breaks = 0;    // runs that ended without an answer or progress
-  // Since when no route leads to its backend servers; unset while one does.
+  uint32_t failures = 0;  // responses that count as attempts
+  uint32_t breaks = 0;    // runs that ended without response or progress
+  // Time since which no route leads to its backend servers; unset while one
+  // does.
   std::optional<TimePoint> unrouted_since;
-  // Output so far and the id of its last event: a displaced or broken run goes
-  // on after it.
+  // Output so far and the id of its last event, after which a preempted or
+  // broken run resumes.
   std::string output;
   std::optional<uint64_t> last_event;
-  // The last event that another entry was told of, or told of here.
+  // The last event that was sent to, or received from, another gateway.
   uint64_t published_event = 0;
 };
 
--- a/libs/serving/include/serving/job_table.h
+++ b/libs/serving/include/serving/job_table.h
@@ -17,66 +17,70 @@
 
 namespace knapweedstile::serving {
 
-// All batch jobs as one entry knows them: what the platform's store holds, and
-// the progress of this entry's own runs. No network, clock or thread.
+// All batch jobs known to this gateway: what the platform's store holds, and
+// the progress of this gateway's own runs. Pure logic: no I/O, no clock, no
+// threads; the caller passes the time.
 //
-// Results are kept as numbered segments of a job. Segment n may be added only
-// after segments 0 to n - 1, and each segment is created once in the store, so
-// a position of a job never changes and no item is listed twice, whoever ran
-// it.
+// Results are kept as numbered segments of a job. Segment n is added only after
+// segments 0 to n - 1, and each segment is created once in the store. A
+// result's position in its job therefore never changes, and no item is listed
+// twice, whichever gateways ran it.
 //
-// Load pattern: jobs of some ten items that are due in seconds, more of them
-// for a while than there is room. Of the jobs that can still be in time the one
-// that is due first goes first; those that cannot any more come after them, or
-// each overdue job would make the next one late as well.
+// Designed for jobs of about ten items that are due within seconds, at times
+// more of them than there are slots. Of the jobs that can still meet their
+// deadline the one due first runs first. Jobs that can no longer meet it run
+// after them, as otherwise each overdue job would make the next one late too.
 class JobTable {
  public:
-  // Commands: what the store holds.
-  // A job that is known already stays as it is.
+  // Commands: records of the store. A job that is in the table is left
+  // unchanged.
   void AddJob(BatchJob&& job);
   // False when an earlier segment is missing; the segment is then kept until
-  // it can be added.
+  // that one is added.
   bool AddSegment(const std::string& job, uint32_t number,
                   std::vector<ItemResult>&& results);
   void EndJob(const std::string& job);
   void RemoveJob(const std::string& job);
 
-  // Commands: this entry's runs.
+  // Commands: runs of this gateway.
   void SetRunning(const ItemRef& item);
-  // The run ended without a result; it may start again from `not_before` on.
+  // The run ended without a result; the item may start again from `not_before`
+  // on.
   void SetWaiting(const ItemRef& item, TimePoint not_before);
-  // The item's outcome is known and waits to be committed.
+  // The outcome of the item is known and is to be committed.
   void SetFinished(const ItemRef& item, ItemState state);
 
-  // Notes of items that have come `step` events further since they were last
-  // noted, at most `most_bytes` of them; they count as told from now on.
+  // Updates for items that are at least `step` events past their last published
+  // event, at most `max_bytes` of output (but at least one update). They count
+  // as published from now on.
   std::vector<ProgressUpdate> TakeProgressUpdates(uint64_t step,
-                                                  size_t most_bytes);
-  // What another entry tells of an item; taken when it is further than what is
-  // known here and nothing runs it here. A note of a job that is not known yet
-  // is kept until it is.
-  void MergeProgress(ProgressUpdate&& note);
-  // The entry that took these jobs on has lost its memory: what is known here
-  // of its waiting items counts as told to nobody.
+                                                  size_t max_bytes);
+  // Merges the progress of an item on another gateway. It is applied if it is
+  // ahead of the progress known here and the item is not running here. An
+  // update for an unknown job is kept until the job is added.
+  void MergeProgress(ProgressUpdate&& update);
+  // The gateway `creator`, which accepted these jobs, has restarted and lost
+  // its state: their progress counts as unpublished, so that it is sent again.
   void RepublishProgress(std::string_view creator);
 
   // Queries.
   const BatchJob* Find(std::string_view job) const;
   BatchJob* Find(std::string_view job);
-  // Whether the segment is known, also where it waits for an earlier one.
+  // Whether the segment was received, also while it waits for an earlier one.
   bool HasSegment(const std::string& job, uint32_t number) const;
-  // Tokens of the open jobs' items in the scope that have no result yet.
+  // Tokens of the items of open jobs in the scope that have no result yet.
   uint64_t WaitingTokens(const QuotaScope& scope) const;
-  // The item to start next: of the open jobs for which `mine` is true, the
-  // first waiting item that `free` allows. Jobs that are due after `in_time`
-  // can still be in time.
+  // The item to start next: the first waiting item for which `is_allowed` is
+  // true, in the open jobs for which `is_own` is true. Jobs that are due at
+  // `feasible_from` or later can still meet their deadline; they precede the
+  // others, by deadline.
   std::optional<ItemRef> NextItem(
-      TimePoint now, TimePoint in_time,
-      const std::function<bool(const BatchJob&)>& mine,
-      const std::function<bool(const BatchItem&)>& free) const;
-  // Segments and ends whose job is not known, by the job's id.
+      TimePoint now, TimePoint feasible_from,
+      const std::function<bool(const BatchJob&)>& is_own,
+      const std::function<bool(const BatchItem&)>& is_allowed) const;
+  // Segments and ends whose job is unknown, by job id.
   std::map<std::string, std::vector<uint32_t>> Orphans() const;
-  // Finished items of a job that are not committed yet.
+  // Results of finished items of a job that are not committed yet.
   std::vector<ItemResult> UncommittedResults(const std::string& job) const;
   const std::map<std::string, BatchJob, std::less<>>& jobs() const noexcept {
     return jobs_;
@@ -87,14 +91,14 @@
   void AppendSegment(BatchJob& job, std::vector<ItemResult>&& results);
 
   std::map<std::string, BatchJob, std::less<>> jobs_;
-  // Segments and ends that came before their job or an earlier segment.
+  // Segments and ends received before their job or an earlier segment.
   std::map<std::string, std::map<uint32_t, std::vector<ItemResult>>>
       pending_segments_;
   std::map<std::string, bool> pending_ends_;
   std::map<std::string, std::vector<ProgressUpdate>>
       pending_updates_;  // by job
   size_t pending_update_bytes_ = 0;
-  // States of finished items that wait for their commit.
+  // States of finished items that are not committed yet, by job and index.
   std::map<std::string, std::map<uint32_t, ItemState>> uncommitted_states_;
 };
 
--- a/libs/serving/include/serving/placement.h
+++ b/libs/serving/include/serving/placement.h
@@ -13,19 +13,19 @@
 
 enum class PlacementOutcome {
   kPlaced,     // on a backend server with a free slot, or a short queue
-  kNoServer,   // none is known, ready and allowed
+  kNoServer,   // none is registered, usable and allowed
   kSaturated,  // every queue is longer than the latency objective allows
 };
 
-// Where one online request goes.
+// Backend server for one online request.
 struct Placement {
   PlacementOutcome outcome = PlacementOutcome::kNoServer;
   BackendServerId server;
-  // True: a batch item on `server` must give up its slot; it belongs to the
-  // entry `displaced_entry`, or to this one when that is empty.
+  // True: a batch item on `server` must be preempted. It belongs to the gateway
+  // `preempted_peer`, or to this one when that is empty.
   bool preempts_batch = false;
   std::string preempted_peer;
-  Duration retry_after{};  // kSaturated, kNoServer: when to come back
+  Duration retry_after{};  // kSaturated, kNoServer: time until a retry
 };
 
 }  // namespace knapweedstile::serving
--- a/libs/serving/include/serving/progress_update.h
+++ b/libs/serving/include/serving/progress_update.h
@@ -6,7 +6,7 @@
 
 namespace knapweedstile::serving {
 
-// How far one item has come, for the entry that would go on with it.
+// Progress of one item, sent to the gateway that would take it over.
 struct ProgressUpdate {
   std::string job;
   std::string item;
--- a/libs/serving/include/serving/quota_limiter.h
+++ b/libs/serving/include/serving/quota_limiter.h
@@ -12,50 +12,53 @@
 
 enum class QuotaVerdict {
   kAccept,
-  kOverLimit,   // by what is known here already
-  kAwaitPeers,  // not before others have heard of the jobs taken before it
+  kOverLimit,   // by the jobs known to this gateway
+  kAwaitPeers,  // retry when peers have acknowledged earlier jobs
 };
 
-// Whether a batch job still fits its workspace's limit on waiting tokens, which
-// holds over all entries. No network, clock or thread: what is known and the
-// time come in.
+// Decides whether a batch job fits its workspace's limit on waiting tokens,
+// which holds over all gateways. Pure logic: no I/O, no clock, no threads; the
+// caller passes the time.
 //
-// Load pattern: many jobs that arrive at all entries in the same moment with
-// the limit nearly reached, while some entries are slow, paused or cut off.
-// Each learns of the others' jobs some milliseconds late, or much later, so by
-// what it knows alone each would give away all of what is left: three entries
-// that took 30 jobs at once went 22% over a limit of which a tenth is allowed.
+// Guards against gateways that each spend the whole remaining quota: many jobs
+// arrive at all gateways at the same moment with the limit nearly reached,
+// while some gateways are slow, paused or partitioned from the others. Each
+// receives the jobs of its peers some milliseconds late, or much later. With
+// local knowledge only, three gateways that accepted 30 jobs at once exceeded
+// the limit by 22%, where a tenth is allowed.
 //
-// So each entry bounds the tokens of its own jobs that another live entry has
-// not acknowledged, by its share of kSharedOverage of the limit. Whatever an
-// entry does not know of is then in those shares, and the sum stays within the
-// limit and that overage however late the others hear. A single job is taken
-// whatever the share, or one larger than that would never be.
+// Therefore each gateway bounds the tokens of its own jobs that some reachable
+// peer has not acknowledged, by its share of kSharedOverage of the limit.
+// Whatever a gateway does not know about is within those shares, so the sum
+// stays within the limit plus that overage however late reports arrive. A job
+// is accepted regardless of the share while no other is unacknowledged; a job
+// larger than the share could never run otherwise.
 class QuotaLimiter {
  public:
-  // `waiting`: tokens known to wait here, this entry's own jobs included.
-  // `entries`: those that accept jobs, this one included.
-  QuotaVerdict Check(const QuotaScope& scope, uint64_t waiting, uint64_t tokens,
-                     uint64_t limit, size_t entries) const;
+  // `waiting_tokens`: those known to this gateway, its own jobs included.
+  // `gateways`: gateways that accept jobs, this one included.
+  QuotaVerdict Check(const QuotaScope& scope, uint64_t waiting_tokens,
+                     uint64_t tokens, uint64_t limit, size_t gateways) const;
 
-  // Whether others have heard of all that was taken.
+  // Whether peers have acknowledged all accepted jobs.
   bool empty() const noexcept { return unacknowledged_.empty(); }
 
-  // Commands. The job was taken, by Judge's word.
+  // Commands. Check() accepted the job.
   void Reserve(const std::string& job, const QuotaScope& scope,
                uint64_t tokens);
-  // Its record is written, as this entry's `number`th.
-  void OnRecordWritten(const std::string& job, uint64_t number);
-  // It was not taken in the end.
+  // Its record is written, as record `record_number` of this gateway (counted
+  // from 1).
+  void OnRecordWritten(const std::string& job, uint64_t record_number);
+  // The job was not accepted in the end.
   void Release(const std::string& job);
-  // Whether it was written is not known: it counts until `known_at`, by which
-  // all entries have read the store.
+  // Whether the record was written is unknown: the job counts until `known_at`,
+  // by which time all gateways have read the store.
   void OnWriteUncertain(const std::string& job, TimePoint known_at);
-  // Every live entry has this entry's records up to `number`.
-  void OnAcknowledged(uint64_t number, TimePoint now);
+  // Every reachable peer has the records of this gateway up to `record_number`.
+  void OnAcknowledged(uint64_t record_number, TimePoint now);
 
  private:
-  // Of the allowed tenth; the rest is for entries that join or start again.
+  // Of the allowed tenth; the rest is for gateways that join or restart.
   static constexpr double kSharedOverage = 0.08;
 
   struct Reservation {
--- a/libs/serving/include/serving/quota_scope.h
+++ b/libs/serving/include/serving/quota_scope.h
@@ -5,7 +5,7 @@
 
 namespace knapweedstile::serving {
 
-// Whose waiting tokens a limit counts: those of one workspace on one route.
+// Scope of a limit on waiting tokens: one workspace on one route.
 struct QuotaScope {
   std::string route;
   std::string workspace;  // empty: jobs of no workspace
--- a/libs/serving/include/serving/request_limits.h
+++ b/libs/serving/include/serving/request_limits.h
@@ -6,7 +6,7 @@
 
 namespace knapweedstile::serving {
 
-// What a caller may send and how long it may take, as the operators set it.
+// Size and time limits for requests of callers, set by the operators.
 struct RequestLimits {
   uint32_t max_header_bytes = 16 << 10;
   uint64_t max_body_bytes = 4 << 20;
--- a/libs/serving/include/serving/retry_after_policy.h
+++ b/libs/serving/include/serving/retry_after_policy.h
@@ -8,30 +8,32 @@
 
 namespace knapweedstile::serving {
 
-// When a caller that is turned away for want of slots is told to come back.
+// Computes the Retry-After time of callers that are rejected because no slot is
+// free.
 //
-// Load pattern: traffic of two to four times what the slots take, for seconds;
-// callers come back once and wait for some seconds in all. The slots free up
-// when the peak is over, not when the requests before are done. Told to come
-// back after the queue's time, 0.15 to 0.45 s, callers return into the same
-// peak, take slots from others or are turned away for good.
+// Designed for bursts of two to four times the capacity that last for seconds,
+// with callers that retry once and wait for some seconds in total. Slots become
+// free when the peak is over, not when the earlier requests are done. With the
+// time of the queue, 0.15 to 0.45 s, as Retry-After, callers retry into the
+// same peak, take slots from others or are rejected for good.
 //
-// So they are told to come back late in the time that they have, spread so that
-// those of one moment do not return in one moment: between a sixth and a third
-// of what is left. A caller that is told more than a third would not wait for
-// it. Over twelve played bursts 3,162 of 36,786 online requests were turned
-// away for good instead of 4,412.
+// Callers are therefore told to retry late within the time that they have left,
+// at random between a sixth and a third of it so that those rejected at the
+// same moment do not retry at the same moment. A caller would not wait for more
+// than a third. In a replay of twelve bursts 3,162 of 36,786 online requests
+// were rejected for good, instead of 4,412.
 class RetryAfterPolicy {
  public:
   explicit RetryAfterPolicy(uint64_t seed) : rng_(seed) {}
 
-  // `left`: until the caller gives up; `backlog`: until a slot may be free.
+  // `left`: time until the caller gives up. `backlog`: time until a slot may be
+  // free. Returns at most a third of `left`.
   Duration DelayFor(Duration left, Duration backlog) {
     const double share =
         kMinShare + (kMaxShare - kMinShare) * UniformUnit(rng_);
     const Duration spread = FromSeconds(ToSeconds(left) * share);
-    const Duration latest = FromSeconds(ToSeconds(left) * kMaxShare);
-    return std::min(std::max(spread, backlog), latest);
+    const Duration longest = FromSeconds(ToSeconds(left) * kMaxShare);
+    return std::min(std::max(spread, backlog), longest);
   }
 
  private:
--- a/libs/serving/include/serving/route.h
+++ b/libs/serving/include/serving/route.h
@@ -13,11 +13,11 @@
 
 namespace knapweedstile::serving {
 
-// What may be repeated on a route, and what form its answers have.
+// Whether requests of a route may be repeated, and the form of its responses.
 enum class RouteKind {
   kIdempotent,     // may run any number of times
-  kNonIdempotent,  // at most one run for each request
-  kStream,         // answered by server-sent events
+  kNonIdempotent,  // each request runs at most once
+  kStream,         // response is a server-sent event stream
   kBatch,          // jobs of many items, run later
 };
 
@@ -28,25 +28,27 @@
   std::string path_prefix;  // begins and ends with a slash
   RouteKind kind = RouteKind::kNonIdempotent;
   std::vector<ServiceShare> services;  // at least one
-  // Longest time that a request may be kept waiting.
+  // Maximum time that a request may be kept waiting.
   std::chrono::milliseconds timeout{5000};
-  // An answer within this time is on time (streams: the first event; batch:
+  // Time within which a response is on time (streams: the first event; batch:
   // the acceptance).
   std::chrono::milliseconds latency_objective{1000};
   uint32_t max_attempts = 1;  // backend servers that may run one request
   uint32_t priority = 0;      // zero is the most urgent
-  bool is_public = false;     // entered without a key
-  // A broken stream may go on at another backend server.
+  bool is_public = false;     // needs no API key
+  // A broken stream may resume on another backend server.
   bool resumable = false;
-  // Batch: all results are due this long after the job was first sent.
+  // Batch: time from the first submission of a job until all its results are
+  // due.
   std::chrono::milliseconds completion_objective{60000};
-  // Batch: an item may be given up this long after the job was first sent.
+  // Batch: time from the first submission of a job after which an item may be
+  // failed.
   std::chrono::milliseconds item_ttl{60000};
-  // Batch: tokens of unfinished items of one workspace over the whole fleet;
-  // zero: no limit.
+  // Batch: limit on the tokens of unfinished items of one workspace over the
+  // whole fleet; zero: no limit.
   uint64_t max_waiting_tokens = 0;
 
-  // Whether a request may be sent again after it may have run.
+  // Whether a request may be sent again although it may have run.
   bool IsRetryable() const noexcept { return kind == RouteKind::kIdempotent; }
 };
 
--- a/libs/serving/include/serving/route_table.h
+++ b/libs/serving/include/serving/route_table.h
@@ -12,7 +12,7 @@
 
 namespace knapweedstile::serving {
 
-// One version of the operators' configuration, whole.
+// One complete version of the operators' configuration.
 struct RouteTable {
   uint64_t version = 0;  // zero: no configuration is known yet
   std::vector<Route> routes;
@@ -24,9 +24,9 @@
   const Route* Find(std::string_view host, std::string_view target) const;
   const Route* FindByName(std::string_view name) const;
   const Service* FindService(std::string_view name) const;
-  // Whether a request of the route is less urgent than others that its service
-  // answers. The priority of its workspace, if that has one, goes before the
-  // route's.
+  // Whether a request of the route is less urgent than requests of other routes
+  // to its service. The priority of its workspace, if it has one, overrides the
+  // priority of the route.
   bool IsLessUrgent(const Route& route,
                     std::optional<uint32_t> workspace_priority) const;
 };
--- a/libs/serving/include/serving/server_record.h
+++ b/libs/serving/include/serving/server_record.h
@@ -6,18 +6,18 @@
 
 namespace knapweedstile::serving {
 
-// A backend server as it registers itself. A process that starts again may have
-// a new `instance`, or the same one and a new `start`; an address may later
-// belong to another service.
+// Registration of a backend server. A restarted process may have a new
+// `instance`, or the same one and a new `start`. An address may later belong to
+// another service.
 struct ServerRecord {
   std::string instance;
-  uint64_t start = 0;  // of the process, Unix milliseconds; zero: not told
+  uint64_t start = 0;  // of the process, Unix milliseconds; zero: unknown
   std::string service;
   std::string address;  // "IP:PORT"
   std::string availability_zone;
-  std::string software;   // its version, as the server names it
-  uint32_t slots = 1;     // requests that run at once
-  bool draining = false;  // leaving: must get no new work
+  std::string software;   // version reported by the server
+  uint32_t slots = 1;     // maximum of concurrent requests
+  bool draining = false;  // shutting down: gets no new requests
 };
 
 }  // namespace knapweedstile::serving
--- a/libs/serving/include/serving/server_usage.h
+++ b/libs/serving/include/serving/server_usage.h
@@ -5,7 +5,7 @@
 
 namespace knapweedstile::serving {
 
-// Requests that one entry has outstanding at one backend server.
+// Outstanding requests of one gateway on one backend server.
 struct ServerUsage {
   uint32_t online = 0;
   uint32_t batch = 0;
--- a/libs/serving/include/serving/service.h
+++ b/libs/serving/include/serving/service.h
@@ -9,7 +9,7 @@
 // A pool of backend servers that run the same requests.
 struct Service {
   std::string name;
-  uint32_t max_connections = 0;  // to one backend server, from all callers
+  uint32_t max_connections = 0;  // per backend server, from all callers
   bool model_engine = false;     // generates tokens in continuous batches
 };
 
--- a/libs/serving/include/serving/service_share.h
+++ b/libs/serving/include/serving/service_share.h
@@ -6,10 +6,10 @@
 
 namespace knapweedstile::serving {
 
-// A service that takes part of a route's traffic.
+// A service that receives a share of a route's traffic.
 struct ServiceShare {
   std::string service;
-  uint32_t weight = 1;  // against the weights of the route's other services
+  uint32_t weight = 1;  // relative to the route's other services
 };
 
 }  // namespace knapweedstile::serving
--- a/libs/serving/include/serving/slot_scheduler.h
+++ b/libs/serving/include/serving/slot_scheduler.h
@@ -28,106 +28,116 @@
 
 namespace knapweedstile::serving {
 
-// Who uses which backend server's slots, over all entries, and where the next
-// request goes. No network, clock or thread: events and the time come in.
+// Tracks which slots of the backend servers are in use, over all gateways, and
+// decides where requests go. Pure logic: no I/O, no clock, no threads; the
+// caller passes the time.
 //
-// Load pattern: online traffic that steps within milliseconds from a third to
-// twice its mean, beside batch items that hold a slot for seconds, on backend
-// servers that admit in order of arrival. Without the board an online request
-// joins a queue behind batch items: seconds instead of milliseconds to its
-// first token.
+// Designed for online traffic that steps within milliseconds from a third to
+// twice its mean, next to batch items that hold a slot for seconds, on backend
+// servers that admit requests in order of arrival. Without the slot accounting
+// an online request would queue behind batch items, and its first token would
+// take seconds instead of milliseconds.
 //
-// - Online takes a free slot by lot, backend servers weighted by their free
-//   slots, those of the own availability zone a little more. What other entries
-//   do is known some milliseconds late: all would send to the one that looks
-//   emptiest at the same time.
-// - Backend servers of this entry's cell come first: what happens there is
-//   known within milliseconds, elsewhere a quarter of a second late. Beyond the
-//   cell a server is used where more slots are free than others may have taken
-//   meanwhile, so that a cell at its limit has room elsewhere.
-// - With no free slot it takes a batch item's slot, again by lot. With none of
-//   those either it queues only as long as its latency objective allows, and is
-//   refused at once beyond that, with the time at which the queue will have
-//   moved.
-// - Batch starts only where a reserve of free slots remains, and each entry
-//   takes its share of the room step by step: entries that start at the same
-//   moment see the whole fleet free. (Four entries after a common restart put
-//   24 items on servers of 8 slots, and online requests waited for 3 s behind.)
+// - An online request goes to a server with a free slot by weighted random
+//   choice. The weight is the number of free slots, somewhat higher in the own
+//   availability zone. Usage reported by peers is some milliseconds old, so
+//   with a deterministic choice all gateways would pick the same, apparently
+//   emptiest server.
+// - Backend servers of this gateway's cell come first: their usage is known
+//   within milliseconds, that of other cells with a delay of a quarter of a
+//   second. A server in another cell is used only where more slots are free
+//   than gateways there may have taken since their last report, so that a full
+//   cell can overflow into other cells.
+// - Without a free slot the request preempts a batch item, again by weighted
+//   random choice. Without a batch item to preempt it queues, but only as long
+//   as its latency objective allows. Beyond that it is rejected at once, with
+//   the time after which the queue will have moved.
+// - Batch items start only where a reserve of free slots remains, and each
+//   gateway uses its share of the headroom step by step, since gateways that
+//   start at the same moment all see the whole fleet free. (Four gateways after
+//   a common restart put 24 items on servers of 8 slots, and online requests
+//   waited 3 s behind them.)
 class SlotScheduler {
  public:
   SlotScheduler(SlotSchedulerSettings settings, std::string own_zone,
                 uint64_t seed);
 
-  // Commands: what is known of the backend servers.
+  // Commands: registrations of backend servers.
   void Upsert(const ServerRecord& record);
   void Remove(std::string_view instance);
-  // Keeps only the given instances.
+  // Removes all servers but those in `records`.
   void Retain(std::span<const ServerRecord> records);
 
-  // The entry's cell and how many entries it has, this one included; zero
-  // entries: all that report. Without a call the whole fleet is one cell.
-  void SetCell(const Cell& cell, size_t entries);
+  // Sets this gateway's cell and the number of gateways in it, this one
+  // included; zero gateways: all that report. Before the first call the whole
+  // fleet is one cell.
+  void SetCell(const Cell& cell, size_t gateways);
 
-  // Commands: requests of this entry.
+  // Commands: requests of this gateway.
   void OnRequestStarted(BackendServerId server, TrafficClass traffic);
   void OnRequestEnded(BackendServerId server, TrafficClass traffic);
   void ObserveDuration(BackendServerId server, Duration duration);
   void MarkUnreachable(BackendServerId server, TimePoint now);
   void MarkFull(BackendServerId server, TimePoint now);
   void MarkReachable(BackendServerId server);
-  // How online and batch share the server from now on. Without one, batch has
-  // what is free beyond the reserve.
+  // Sets how online and batch requests share the server. Without a policy,
+  // batch may use what is free beyond the reserve.
   void SetSharing(BackendServerId server,
                   const std::optional<decide::SharingPolicy>& sharing);
-  // Samples what online holds, for sharing by recent demand.
+  // Samples the online requests per server, for policies that follow recent
+  // demand. Samples at most every 100 ms.
   void ObserveDemand(TimePoint now);
 
-  // Commands: what other entries have outstanding, by the server's process.
-  // All that an entry has outstanding.
-  void SetPeerUsage(const std::string& entry, const UsageByProcess& usage,
+  // Commands: usage reported by peers, by server process. Full report:
+  // processes that are not listed are idle.
+  void SetPeerUsage(const std::string& peer, const UsageByProcess& usage,
                     TimePoint now);
-  // Only what changed; processes that are not named stay as they were.
-  void UpdatePeerUsage(const std::string& entry, const UsageByProcess& changed,
+  // Incremental report: processes that are not listed keep their usage.
+  void UpdatePeerUsage(const std::string& peer, const UsageByProcess& changed,
                        TimePoint now);
-  void RemovePeer(const std::string& entry);
+  void RemovePeer(const std::string& peer);
   void ExpirePeerReports(TimePoint now);
 
-  // Decisions. PlaceOnline counts a displaced item of another entry as gone.
+  // Decisions. PlaceOnline subtracts the preempted item of a peer from the
+  // reported usage, ahead of the next report.
   Placement PlaceOnline(std::string_view service, Duration objective,
                         std::span<const BackendServerId> excluded,
                         TimePoint now);
-  // Batch items that one of `entries` entries may start until the others know
-  // of it: at least one, together at most half of the room there is.
-  uint32_t BatchBudget(std::string_view service, size_t entries,
+  // Number of batch items that one of `gateways` gateways may start until its
+  // peers have received its next report: at least one; together the gateways
+  // use at most half of the headroom.
+  uint32_t BatchBudget(std::string_view service, size_t gateways,
                        TimePoint now) const;
-  // Servers at which an own batch item is to be taken back because online
-  // requests wait behind it; each item that is taken back is reported by
-  // Ended() before the next call. Expects a call every 20 ms or so.
+  // Servers on which one of this gateway's batch items must be preempted
+  // because online requests wait behind it. The caller reports each preempted
+  // item through OnRequestEnded() before the next call. Expects a call about
+  // every 20 ms.
   std::vector<BackendServerId> ServersToPreempt(TimePoint now);
-  // Requests outstanding over the slots of a backend server.
+  // Number of outstanding requests beyond the slots of a backend server.
   uint32_t Oversubscription(BackendServerId server) const;
-  // Zero when no backend server has room beyond the reserve.
+  // Zero (no server) when no backend server has headroom beyond the reserve.
   BackendServerId PlaceBatch(std::string_view service,
                              std::span<const BackendServerId> excluded,
                              TimePoint now);
 
   // Queries.
   const ServerRecord* Record(BackendServerId server) const;
-  // Null when no server is registered with that process.
+  // Null when no registered server has that process.
   const ServerRecord* RecordByProcess(ServerProcessId process) const;
   BackendServerId Find(std::string_view instance) const;
-  // Slots of the service's usable servers, and those that are free.
+  // Total and free slots over the usable servers of the service.
   SlotCount CountSlots(std::string_view service, TimePoint now) const;
-  // What this entry has outstanding, by the server's process; idle ones are
+  // Outstanding requests of this gateway, by server process; idle processes are
   // left out.
   UsageByProcess OwnUsage() const;
   ServerUsage UsageOf(BackendServerId server) const;
   size_t server_count() const noexcept { return servers_.size(); }
   std::vector<BackendServerId> Servers() const;
-  // Servers on which batch has more than the sharing in force lets it keep, and
-  // this entry an item to take back.
+  // Servers on which batch exceeds the limit of the sharing policy and this
+  // gateway runs a batch item that it can preempt.
   std::vector<BackendServerId> ServersOverBatchLimit() const;
-  // Name of the policy in force on the server; "default" without one.
+  // Name of the sharing policy that applies to the server; "default" without
+  // one.
   std::string_view SharingPolicyName(BackendServerId server) const;
 
  private:
@@ -141,12 +151,12 @@
     ServerRecord record;
     ServerProcessId process;
     ServerUsage own_usage;
-    ServerUsage peer_usage;  // sum of the live reports
+    ServerUsage peer_usage;  // sum over reachable peers
     TimePoint backoff_until{};
-    TimePoint oversubscribed_since = kNever;  // more outstanding than slots
+    TimePoint oversubscribed_since = kNever;  // more requests than slots
     uint32_t failures = 0;
-    bool in_cell = true;   // in this entry's cell
-    bool removed = false;  // no longer registered; kept while requests run
+    bool in_cell = true;   // in this gateway's cell
+    bool removed = false;  // unregistered; kept while requests run
     std::optional<Sharing> sharing;
 
     uint32_t online() const noexcept {
@@ -164,47 +174,50 @@
 
   bool Usable(const Server& server, std::string_view service,
               std::span<const BackendServerId> excluded) const;
-  // Least used first, then the own zone, then by lot.
+  // Fewest requests first, then the own zone, then at random.
   bool IsPreferred(const Server& a, uint32_t use_a, const Server& b,
                    uint32_t use_b);
   enum class Locality { kSameCell, kOtherCell };
-  static bool HasLocality(const Server& server, Reach reach) {
-    return server.in_cell == (reach == Reach::kSameCell);
+  static bool HasLocality(const Server& server, Locality locality) {
+    return server.in_cell == (locality == Locality::kSameCell);
   }
-  // Slots that are free beyond `reserve`, as a weight; online requests.
+  // Weight of a server for an online request: free slots beyond `reserve`.
   double FreeWeight(const Server& server, uint32_t reserve) const;
-  // Slots of batch items that an online request would get, as a weight.
+  // Weight of a server for preemption: batch slots that an online request would
+  // get.
   double PreemptionWeight(const Server& server) const;
-  // One of the usable servers by lot; `weight` zero leaves a server out.
+  // Weighted random choice among the usable servers; weight zero excludes a
+  // server. Null when all are excluded.
   template <typename Weight>
   Server* PickWeighted(std::string_view service,
                        std::span<const BackendServerId> excluded, TimePoint now,
                        Weight weight);
-  // Items that may still be started on the server.
+  // Batch items that may still start on the server.
   uint32_t BatchHeadroom(const Server& server) const;
   decide::BatchLimit LimitOf(const Server& server) const;
-  // Items that this entry may start within `reach` until others know of it.
-  double TotalBatchHeadroom(std::string_view service, Reach reach,
+  // Batch items that may still start on usable servers of the locality.
+  double TotalBatchHeadroom(std::string_view service, Locality locality,
                             TimePoint now) const;
-  // Entries whose changes come here at once, this one included.
+  // Gateways of this cell, this one included.
   size_t GatewaysInCell() const;
-  // Whether few slots of the service are free.
+  // Whether peers may take the free slots of the service before their reports
+  // arrive.
   bool FreeSlotsAreScarce(std::string_view service, TimePoint now) const;
   double ZoneFactor(const Server& server) const;
   Server* LeastUsed(std::string_view service,
                     std::span<const BackendServerId> excluded, TimePoint now);
   Placement PreemptBatch(Server& server);
   Placement PlaceInQueue(Server& server, Duration objective);
-  // Keeps the process of the server's record as the one that reports name.
+  // Makes the process of the record the one that peer reports refer to.
   void IndexProcess(Server& server);
-  // Where the record is of a new process of a known instance.
+  // Removes the previous process when the record is of a restarted server.
   void RetireFormerProcess(const ServerRecord& record);
-  // The present process of that name; null when there is none.
+  // Null when no registered server has that process.
   Server* FindProcess(ServerProcessId process);
   void SumPeerUsage();
   void ApplyUsage(PeerReport& report, ServerProcessId process,
                   ServerUsage usage, TimePoint now);
-  void BackOff(Server& server, Duration time, TimePoint now);
+  void BackOff(Server& server, Duration duration, TimePoint now);
   Server* FindServer(BackendServerId id);
 
   SlotSchedulerSettings settings_;
@@ -218,7 +231,7 @@
   std::unordered_map<ServerProcessId, BackendServerId> by_process_;
   std::map<std::string, PeerReport> peer_reports_;
   std::unordered_map<std::string, double> mean_duration_seconds_;  // by service
-  // Online requests that other entries start in this cell, by service.
+  // Rate at which peers start online requests in this cell, by service.
   std::unordered_map<std::string, StartRate> peer_start_rate_;
   TimePoint demand_sampled_at_{};
 };
--- a/libs/serving/include/serving/start_rate.h
+++ b/libs/serving/include/serving/start_rate.h
@@ -8,9 +8,9 @@
 
 namespace knapweedstile::serving {
 
-// Starts a second, with an exponential memory of half a second: traffic steps
-// from a third to twice its mean within milliseconds, and a longer memory would
-// carry a valley into the peak after it.
+// Starts per second, exponentially weighted with a memory of half a second.
+// Traffic steps from a third to twice its mean within milliseconds, and a
+// longer memory would carry the rate of a valley into the next peak.
 class StartRate {
  public:
   void Add(uint32_t starts, TimePoint now) {
--- a/libs/serving/include/serving/usage_by_process.h
+++ b/libs/serving/include/serving/usage_by_process.h
@@ -10,11 +10,12 @@
 
 namespace knapweedstile::serving {
 
-// What entries call a backend server's process among each other: an entry that
-// still counts requests at a former process must not fill the new one's slots.
+// Identifies a backend server's process in messages between gateways. Requests
+// that a peer still counts for a previous process must not fill the slots of
+// its successor.
 using ServerProcessId = Id<struct ServerProcessTag>;
 
-// Requests outstanding, by the server's process; idle ones are left out.
+// Outstanding requests by server process; idle processes are left out.
 using UsageByProcess = std::map<ServerProcessId, ServerUsage>;
 
 inline ServerProcessId ProcessOf(const ServerRecord& record) {
--- a/libs/serving/src/job_table.cc
+++ b/libs/serving/src/job_table.cc
@@ -5,9 +5,10 @@
 namespace knapweedstile::serving {
 namespace {
 
-// Notes that come while an entry reads its records after a start: those of some
-// hundred running items. Beyond it items are begun anew.
-constexpr size_t kMostEarlyNoteBytes = 4 << 20;
+// Limit for updates that arrive while a gateway still reads its records after a
+// start; enough for some hundred running items. Items beyond it are restarted
+// from the beginning.
+constexpr size_t kMaxPendingUpdateBytes = 4 << 20;
 
 }  // namespace
 
@@ -21,9 +22,9 @@
   job.ended = pending_ends_.contains(id);
   BatchJob& added = jobs_.emplace(id, std::move(job)).first->second;
   MergePendingUpdates(id);
-  auto early = pending_segments_.extract(id);
-  if (early.empty()) return;
-  for (auto& [number, results] : early.mapped()) {
+  auto pending = pending_segments_.extract(id);
+  if (pending.empty()) return;
+  for (auto& [number, results] : pending.mapped()) {
     AddSegment(added.id, number, std::move(results));
   }
 }
@@ -37,14 +38,14 @@
   }
   if (number < job->segments) return true;
   AppendSegment(*job, std::move(results));
-  const auto early = pending_segments_.find(id);
-  if (early == pending_segments_.end()) return true;
+  const auto pending = pending_segments_.find(id);
+  if (pending == pending_segments_.end()) return true;
   while (true) {
-    auto next = early->second.extract(job->segments);
+    auto next = pending->second.extract(job->segments);
     if (next.empty()) break;
     AppendSegment(*job, std::move(next.mapped()));
   }
-  if (early->second.empty()) pending_segments_.erase(early);
+  if (pending->second.empty()) pending_segments_.erase(pending);
   return true;
 }
 
@@ -100,8 +101,8 @@
 }
 
 std::vector<ProgressUpdate> JobTable::TakeProgressUpdates(uint64_t step,
-                                                          size_t most_bytes) {
-  std::vector<ProgressUpdate> notes;
+                                                          size_t max_bytes) {
+  std::vector<ProgressUpdate> updates;
   size_t bytes = 0;
   for (auto& [id, job] : jobs_) {
     if (!job.open()) continue;
@@ -109,26 +110,26 @@
       ItemProgress& progress = job.progress[i];
       const bool unfinished = progress.phase == ItemPhase::kWaiting ||
                               progress.phase == ItemPhase::kRunning;
-      const uint64_t come = progress.last_event.value_or(0);
-      if (!unfinished || come < progress.published_event + step) continue;
+      const uint64_t last_event = progress.last_event.value_or(0);
+      if (!unfinished || last_event < progress.published_event + step) continue;
       bytes += progress.output.size();
-      if (!notes.empty() && bytes > most_bytes) return notes;
-      progress.published_event = come;
-      notes.push_back({.job = id,
-                       .item = job.items[i].id,
-                       .last_event = come,
-                       .output = progress.output});
+      if (!updates.empty() && bytes > max_bytes) return updates;
+      progress.published_event = last_event;
+      updates.push_back({.job = id,
+                         .item = job.items[i].id,
+                         .last_event = last_event,
+                         .output = progress.output});
     }
   }
-  return notes;
+  return updates;
 }
 
 void JobTable::MergePendingUpdates(const std::string& id) {
-  auto early = pending_updates_.extract(id);
-  if (early.empty()) return;
-  for (ProgressUpdate& note : early.mapped()) {
-    pending_update_bytes_ -= note.output.size();
-    MergeProgress(std::move(note));
+  auto pending = pending_updates_.extract(id);
+  if (pending.empty()) return;
+  for (ProgressUpdate& update : pending.mapped()) {
+    pending_update_bytes_ -= update.output.size();
+    MergeProgress(std::move(update));
   }
 }
 
@@ -139,23 +140,24 @@
   }
 }
 
-void JobTable::MergeProgress(ProgressUpdate&& note) {
-  BatchJob* job = Find(note.job);
+void JobTable::MergeProgress(ProgressUpdate&& update) {
+  BatchJob* job = Find(update.job);
   if (!job) {
-    if (pending_update_bytes_ >= kMostEarlyNoteBytes) return;
-    pending_update_bytes_ += note.output.size();
-    pending_updates_[note.job].push_back(std::move(note));
+    if (pending_update_bytes_ >= kMaxPendingUpdateBytes) return;
+    pending_update_bytes_ += update.output.size();
+    pending_updates_[update.job].push_back(std::move(update));
     return;
   }
-  const auto index = job->item_index.find(note.item);
+  const auto index = job->item_index.find(update.item);
   if (index == job->item_index.end()) return;
   ItemProgress& progress = job->progress[index->second];
-  const bool further = note.last_event > progress.last_event.value_or(0);
-  if (progress.phase != ItemPhase::kWaiting || !further) return;
-  progress.output = std::move(note.output);
-  progress.last_event = note.last_event;
-  // Not to be passed on: who told of it tells the next one as well.
-  progress.published_event = note.last_event;
+  const bool is_ahead = update.last_event > progress.last_event.value_or(0);
+  if (progress.phase != ItemPhase::kWaiting || !is_ahead) return;
+  progress.output = std::move(update.output);
+  progress.last_event = update.last_event;
+  // Not to be published again: the gateway that sent it sends it to the next
+  // gateway as well.
+  progress.published_event = update.last_event;
 }
 
 const BatchJob* JobTable::Find(std::string_view id) const {
@@ -171,8 +173,8 @@
 bool JobTable::HasSegment(const std::string& id, uint32_t number) const {
   const BatchJob* job = Find(id);
   if (job && number < job->segments) return true;
-  const auto early = pending_segments_.find(id);
-  return early != pending_segments_.end() && early->second.contains(number);
+  const auto pending = pending_segments_.find(id);
+  return pending != pending_segments_.end() && pending->second.contains(number);
 }
 
 uint64_t JobTable::WaitingTokens(const QuotaScope& scope) const {
@@ -191,24 +193,24 @@
 }
 
 std::optional<ItemRef> JobTable::NextItem(
-    TimePoint now, TimePoint in_time,
-    const std::function<bool(const BatchJob&)>& mine,
-    const std::function<bool(const BatchItem&)>& free) const {
-  const auto comes_before = [in_time](const BatchJob& a, const BatchJob& b) {
-    const bool late_a = a.due_at < in_time;
-    const bool late_b = b.due_at < in_time;
-    return late_a != late_b ? late_b : a.due_at < b.due_at;
+    TimePoint now, TimePoint feasible_from,
+    const std::function<bool(const BatchJob&)>& is_own,
+    const std::function<bool(const BatchItem&)>& is_allowed) const {
+  const auto precedes = [feasible_from](const BatchJob& a, const BatchJob& b) {
+    const bool overdue_a = a.due_at < feasible_from;
+    const bool overdue_b = b.due_at < feasible_from;
+    return overdue_a != overdue_b ? overdue_b : a.due_at < b.due_at;
   };
   const BatchJob* best = nullptr;
   uint32_t best_index = 0;
   for (const auto& [id, job] : jobs_) {
-    if (!job.open() || (best && !comes_before(job, *best)) || !mine(job)) {
+    if (!job.open() || (best && !precedes(job, *best)) || !is_own(job)) {
       continue;
     }
     for (uint32_t i = 0; i < job.items.size(); ++i) {
       const ItemProgress& progress = job.progress[i];
       if (progress.phase != ItemPhase::kWaiting || progress.not_before > now ||
-          !free(job.items[i])) {
+          !is_allowed(job.items[i])) {
         continue;
       }
       best = &job;
--- a/libs/serving/src/slot_scheduler.cc
+++ b/libs/serving/src/slot_scheduler.cc
@@ -9,12 +9,12 @@
 namespace knapweedstile::serving {
 namespace {
 
-// Weight of one request in the running mean of durations: some twenty requests
-// of memory, a fraction of a second at the usual rates.
+// Weight of one request in the running mean of durations: the mean covers about
+// twenty requests, a fraction of a second at usual rates.
 constexpr double kDurationWeight = 0.05;
 
-// Where more than the slots are outstanding the displaced item may be waiting
-// itself, and its place behind others is worth little.
+// On an oversubscribed server the preempted item may itself be queued, so that
+// preempting it frees no slot and moves the request up by one position only.
 constexpr double kQueuedBatchFactor = 0.02;
 
 uint32_t& CountOf(ServerUsage& usage, TrafficClass traffic) {
@@ -27,10 +27,10 @@
                              std::string own_zone, uint64_t seed)
     : settings_(settings), own_zone_(std::move(own_zone)), rng_(seed) {}
 
-// Failure guarded against: a server that crashed is back under its old name,
-// and the counts, failures and avoidance of its former process would stand for
-// the new one, which holds nothing. The former process stays as a server of its
-// own that is gone, until the requests that it took have ended.
+// Guards against state of a crashed process that would apply to its successor:
+// a server restarts under its old name, idle, while usage, failures and backoff
+// belong to the previous process. The previous process is kept as a separate,
+// removed server until its requests have ended.
 void SlotScheduler::RetireFormerProcess(const ServerRecord& record) {
   const auto known = by_instance_.find(record.instance);
   if (known == by_instance_.end()) return;
@@ -71,9 +71,9 @@
   by_instance_.erase(known);
 }
 
-void SlotScheduler::SetCell(const Cell& cell, size_t entries) {
+void SlotScheduler::SetCell(const Cell& cell, size_t gateways) {
   cell_ = cell;
-  gateways_in_cell_ = entries;
+  gateways_in_cell_ = gateways;
   for (auto& [id, server] : servers_)
     server.in_cell = cell_.Contains(server.record);
 }
@@ -118,18 +118,18 @@
   if (!is_new) mean->second += kDurationWeight * (seconds - mean->second);
 }
 
-void SlotScheduler::BackOff(Server& server, Duration time, TimePoint now) {
-  server.backoff_until = std::max(server.backoff_until, now + time);
+void SlotScheduler::BackOff(Server& server, Duration duration, TimePoint now) {
+  server.backoff_until = std::max(server.backoff_until, now + duration);
 }
 
 void SlotScheduler::MarkUnreachable(BackendServerId id, TimePoint now) {
   Server* server = FindServer(id);
   if (!server) return;
-  constexpr uint32_t kMostDoublings = 6;
-  const Duration time = settings_.min_backoff *
-                        (1U << std::min(server->failures, kMostDoublings));
+  constexpr uint32_t kMaxDoublings = 6;
+  const Duration duration =
+      settings_.min_backoff * (1U << std::min(server->failures, kMaxDoublings));
   ++server->failures;
-  BackOff(*server, std::min<Duration>(time, settings_.max_backoff), now);
+  BackOff(*server, std::min<Duration>(duration, settings_.max_backoff), now);
 }
 
 void SlotScheduler::MarkFull(BackendServerId id, TimePoint now) {
@@ -156,28 +156,28 @@
 bool SlotScheduler::IsPreferred(const Server& a, uint32_t use_a,
                                 const Server& b, uint32_t use_b) {
   if (use_a != use_b) return use_a < use_b;
-  const bool near_a = a.record.availability_zone == own_zone_;
-  const bool near_b = b.record.availability_zone == own_zone_;
-  if (near_a != near_b) return near_a;
+  const bool own_zone_a = a.record.availability_zone == own_zone_;
+  const bool own_zone_b = b.record.availability_zone == own_zone_;
+  if (own_zone_a != own_zone_b) return own_zone_a;
   return UniformBelow(rng_, 2) == 0;
 }
 
-// Avoided servers come last: they are tried only when there is no other.
+// Servers in backoff come last: they are used only when there is no other.
 SlotScheduler::Server* SlotScheduler::LeastUsed(
     std::string_view service, std::span<const BackendServerId> excluded,
     TimePoint now) {
   Server* best = nullptr;
-  bool best_avoided = false;
+  bool best_in_backoff = false;
   for (auto& [id, server] : servers_) {
     if (!Usable(server, service, excluded)) continue;
-    const bool avoided = server.backoff_until > now;
+    const bool in_backoff = server.backoff_until > now;
     const bool better =
-        !best || (best_avoided && !avoided) ||
-        (best_avoided == avoided &&
+        !best || (best_in_backoff && !in_backoff) ||
+        (best_in_backoff == in_backoff &&
          IsPreferred(server, server.total(), *best, best->total()));
     if (!better) continue;
     best = &server;
-    best_avoided = avoided;
+    best_in_backoff = in_backoff;
   }
   return best;
 }
@@ -193,12 +193,12 @@
                       .server = server.id,
                       .preempts_batch = true};
   if (server.own_usage.batch > 0) return placement;
-  for (auto& [entry, report] : peer_reports_) {
+  for (auto& [peer, report] : peer_reports_) {
     const auto usage = report.usage.find(server.process);
     if (usage == report.usage.end() || usage->second.batch == 0) continue;
     --usage->second.batch;
     --server.peer_usage.batch;
-    placement.preempted_peer = entry;
+    placement.preempted_peer = peer;
     return placement;
   }
   return placement;
@@ -221,20 +221,20 @@
     return placement;
   }
   placement.outcome = PlacementOutcome::kSaturated;
-  // Spread over the time that the backlog needs, so that those refused in one
-  // moment do not come back in one moment.
+  // Spread over the time that the backlog takes, so that requests rejected at
+  // the same moment do not retry at the same moment.
   const double backlog = std::max(ahead * position_seconds, 2 * allowed);
   placement.retry_after = FromSeconds(backlog * (0.5 + UniformUnit(rng_)));
   return placement;
 }
 
-// Failure guarded against: when few slots are free, others take the same one
-// before their word arrives, and of two requests one waits for a whole run. A
-// slot that this entry itself holds for a batch item is certain. Few are as
-// many as others take meanwhile, as observed: with a fixed tenth of the slots,
-// which is about what batch leaves free, each online request of four entries
-// cut an item off though slots were free (843 cuts for 380 items on one played
-// day).
+// Guards against collisions on the last free slots: peers take the same slot
+// before their reports arrive, and one of two requests waits for a whole run.
+// The slot of an own batch item is certain. The threshold is the number of
+// slots that peers take within the report delay, by their observed rate. With a
+// fixed threshold of a tenth of the slots, which is about what batch leaves
+// free, almost every online request of four gateways preempted an item although
+// slots were free (843 preemptions for 380 items in one replayed day).
 bool SlotScheduler::FreeSlotsAreScarce(std::string_view service,
                                        TimePoint now) const {
   const auto rate = peer_start_rate_.find(std::string(service));
@@ -242,14 +242,14 @@
   const Duration delay =
       settings_.report_delay +
       settings_.report_delay_per_peer * (GatewaysInCell() - 1);
-  const double taken = rate->second.At(now) * ToSeconds(delay);
+  const double expected_starts = rate->second.At(now) * ToSeconds(delay);
   uint32_t free = 0;
   for (const auto& [id, server] : servers_) {
     if (!server.in_cell || !Usable(server, service, {})) continue;
     if (server.backoff_until > now) continue;
     free += server.record.slots - std::min(server.record.slots, server.total());
   }
-  return free < settings_.scarce_factor * taken;
+  return free < settings_.scarce_factor * expected_starts;
 }
 
 SlotCount SlotScheduler::CountSlots(std::string_view service,
@@ -266,15 +266,15 @@
 }
 
 double SlotScheduler::FreeWeight(const Server& server, uint32_t reserve) const {
-  const uint32_t taken = server.total() + reserve;
-  if (taken >= server.record.slots) return 0;
-  return (server.record.slots - taken) * ZoneFactor(server);
+  const uint32_t used = server.total() + reserve;
+  if (used >= server.record.slots) return 0;
+  return (server.record.slots - used) * ZoneFactor(server);
 }
 
 double SlotScheduler::PreemptionWeight(const Server& server) const {
   if (server.online() >= server.record.slots) return 0;
-  const bool queue = server.total() > server.record.slots;
-  return server.batch() * (queue ? kQueuedBatchFactor : 1.0);
+  const bool oversubscribed = server.total() > server.record.slots;
+  return server.batch() * (oversubscribed ? kQueuedBatchFactor : 1.0);
 }
 
 Placement SlotScheduler::PlaceOnline(std::string_view service,
@@ -290,27 +290,30 @@
       return PreemptBatch(*server);
     }
   }
-  const auto draw_free = [&](Reach reach, uint32_t reserve) {
+  const auto pick_free = [&](Locality locality, uint32_t reserve) {
     return PickWeighted(service, excluded, now, [&](const Server& server) {
-      return HasLocality(server, reach) ? FreeWeight(server, reserve) : 0.0;
+      return HasLocality(server, locality) ? FreeWeight(server, reserve) : 0.0;
     });
   };
-  const auto draw_batch = [&](Reach reach) {
+  const auto pick_batch = [&](Locality locality) {
     return PickWeighted(service, excluded, now, [&](const Server& server) {
-      return HasLocality(server, reach) ? PreemptionWeight(server) : 0.0;
+      return HasLocality(server, locality) ? PreemptionWeight(server) : 0.0;
     });
   };
-  const auto take = [](const Server& server) {
+  const auto place_on = [](const Server& server) {
     return Placement{.outcome = PlacementOutcome::kPlaced, .server = server.id};
   };
-  if (Server* server = draw_free(Reach::kSameCell, 0)) return take(*server);
-  if (Server* server = draw_free(Reach::kOtherCell, settings_.remote_reserve)) {
-    return take(*server);
+  if (Server* server = pick_free(Locality::kSameCell, 0))
+    return place_on(*server);
+  if (Server* server =
+          pick_free(Locality::kOtherCell, settings_.remote_reserve)) {
+    return place_on(*server);
   }
-  if (Server* server = draw_batch(Reach::kSameCell))
+  if (Server* server = pick_batch(Locality::kSameCell))
     return PreemptBatch(*server);
-  if (Server* server = draw_free(Reach::kOtherCell, 0)) return take(*server);
-  if (Server* server = draw_batch(Reach::kOtherCell))
+  if (Server* server = pick_free(Locality::kOtherCell, 0))
+    return place_on(*server);
+  if (Server* server = pick_batch(Locality::kOtherCell))
     return PreemptBatch(*server);
   Server* least = LeastUsed(service, excluded, now);
   if (!least) {
--- a/libs/serving/src/slot_scheduler_batch.cc
+++ b/libs/serving/src/slot_scheduler_batch.cc
@@ -3,13 +3,13 @@
 #include "serving/slot_scheduler.h"
 #include "slot_scheduler_pick.h"
 
-// Room for batch items on the backend servers, and how it is shared.
+// Headroom for batch items on the backend servers, and how gateways share it.
 namespace knapweedstile::serving {
 namespace {
 
-// Online demand moves within seconds; finer samples would add nothing.
-constexpr std::chrono::milliseconds kDemandPeriod{100};
-constexpr char kBuiltIn[] = "default";
+// Online demand changes within seconds, so a shorter period adds nothing.
+constexpr std::chrono::milliseconds kDemandSamplePeriod{100};
+constexpr char kDefaultPolicyName[] = "default";
 
 }  // namespace
 
@@ -22,13 +22,14 @@
     return;
   }
   if (!server->sharing) server->sharing.emplace();
-  // The history stays: a rule that comes into force knows the recent past.
+  // The demand history is kept, so that a new policy starts with the recent
+  // past.
   server->sharing->policy = sharing->name;
   server->sharing->rule = decide::MakeSharingRule(*sharing);
 }
 
 void SlotScheduler::ObserveDemand(TimePoint now) {
-  if (now - demand_sampled_at_ < kDemandPeriod) return;
+  if (now - demand_sampled_at_ < kDemandSamplePeriod) return;
   demand_sampled_at_ = now;
   for (auto& [id, server] : servers_) {
     if (server.sharing) server.sharing->demand.Observe(server.online());
@@ -38,8 +39,8 @@
 decide::BatchLimit SlotScheduler::LimitOf(const Server& server) const {
   const uint32_t slots = server.record.slots;
   if (!server.sharing) {
-    const uint32_t most = slots - std::min(slots, settings_.batch_reserve);
-    return {.start = most, .keep = slots};
+    const uint32_t max_batch = slots - std::min(slots, settings_.batch_reserve);
+    return {.start = max_batch, .keep = slots};
   }
   return decide::LimitOf(server.sharing->rule, slots,
                          server.sharing->demand.At(server.online()));
@@ -47,56 +48,60 @@
 
 uint32_t SlotScheduler::BatchHeadroom(const Server& server) const {
   const uint32_t slots = server.record.slots;
-  const uint32_t usual =
+  const uint32_t default_reserve =
       server.in_cell ? settings_.batch_reserve : settings_.remote_batch_reserve;
-  const uint32_t reserve = server.sharing ? 0 : usual;
-  const uint32_t taken = server.total() + reserve;
-  const uint32_t free = taken < slots ? slots - taken : 0;
-  const uint32_t most = LimitOf(server).start;
-  return server.batch() < most ? std::min(free, most - server.batch()) : 0;
+  const uint32_t reserve = server.sharing ? 0 : default_reserve;
+  const uint32_t used = server.total() + reserve;
+  const uint32_t free = used < slots ? slots - used : 0;
+  const uint32_t max_batch = LimitOf(server).start;
+  return server.batch() < max_batch ? std::min(free, max_batch - server.batch())
+                                    : 0;
 }
 
 BackendServerId SlotScheduler::PlaceBatch(
     std::string_view service, std::span<const BackendServerId> excluded,
     TimePoint now) {
-  for (const Reach reach : {Reach::kSameCell, Reach::kOtherCell}) {
-    const auto room = [this, reach](const Server& server) {
-      if (!HasLocality(server, reach)) return 0.0;
+  for (const Locality locality : {Locality::kSameCell, Locality::kOtherCell}) {
+    const auto headroom = [this, locality](const Server& server) {
+      if (!HasLocality(server, locality)) return 0.0;
       return BatchHeadroom(server) * ZoneFactor(server);
     };
-    const Server* server = PickWeighted(service, excluded, now, room);
+    const Server* server = PickWeighted(service, excluded, now, headroom);
     if (server) return server->id;
   }
   return {};
 }
 
-double SlotScheduler::TotalBatchHeadroom(std::string_view service, Reach reach,
+double SlotScheduler::TotalBatchHeadroom(std::string_view service,
+                                         Locality locality,
                                          TimePoint now) const {
-  uint32_t room = 0;
+  uint32_t headroom = 0;
   for (const auto& [id, server] : servers_) {
-    if (!HasLocality(server, reach) || !Usable(server, service, {})) continue;
-    if (server.backoff_until <= now) room += BatchHeadroom(server);
+    if (!HasLocality(server, locality) || !Usable(server, service, {}))
+      continue;
+    if (server.backoff_until <= now) headroom += BatchHeadroom(server);
   }
-  return room;
+  return headroom;
 }
 
-uint32_t SlotScheduler::BatchBudget(std::string_view service, size_t entries,
+uint32_t SlotScheduler::BatchBudget(std::string_view service, size_t gateways,
                                     TimePoint now) const {
-  const size_t all = std::max<size_t>(entries, 1);
-  const size_t near =
-      gateways_in_cell_ == 0 ? all : std::min(all, gateways_in_cell_);
-  constexpr double kMostOfRoom = 0.5;
-  const double share = TotalBatchHeadroom(service, Reach::kSameCell, now) /
-                           static_cast<double>(near) +
-                       TotalBatchHeadroom(service, Reach::kOtherCell, now) /
-                           static_cast<double>(all);
-  return 1 + static_cast<uint32_t>(kMostOfRoom * share);
+  const size_t in_fleet = std::max<size_t>(gateways, 1);
+  const size_t in_cell =
+      gateways_in_cell_ == 0 ? in_fleet : std::min(in_fleet, gateways_in_cell_);
+  constexpr double kMaxHeadroomShare = 0.5;
+  const double share = TotalBatchHeadroom(service, Locality::kSameCell, now) /
+                           static_cast<double>(in_cell) +
+                       TotalBatchHeadroom(service, Locality::kOtherCell, now) /
+                           static_cast<double>(in_fleet);
+  return 1 + static_cast<uint32_t>(kMaxHeadroomShare * share);
 }
 
-// Failure guarded against: two entries take the last free slot in the same
-// milliseconds, and one of the two requests waits until something ends there,
-// half a second beside batch items. Entries with items there draw lots, so that
-// in the mean one item gives way for each request that waits.
+// Guards against an online request that waits behind batch items: two gateways
+// take the last free slot within the same milliseconds, and one of the two
+// requests waits until another request ends, half a second next to batch items.
+// Each gateway with items there decides at random, with a probability that
+// preempts one item per waiting request on average.
 std::vector<BackendServerId> SlotScheduler::ServersToPreempt(TimePoint now) {
   std::vector<BackendServerId> chosen;
   for (auto& [id, server] : servers_) {
@@ -116,18 +121,18 @@
 }
 
 std::vector<BackendServerId> SlotScheduler::ServersOverBatchLimit() const {
-  std::vector<BackendServerId> beyond;
+  std::vector<BackendServerId> over_limit;
   for (const auto& [id, server] : servers_) {
     if (!server.sharing || server.own_usage.batch == 0) continue;
-    if (server.batch() > LimitOf(server).keep) beyond.push_back(id);
+    if (server.batch() > LimitOf(server).keep) over_limit.push_back(id);
   }
-  return beyond;
+  return over_limit;
 }
 
 std::string_view SlotScheduler::SharingPolicyName(BackendServerId id) const {
   const auto found = servers_.find(id);
   const bool named = found != servers_.end() && found->second.sharing;
-  if (!named) return kBuiltIn;
+  if (!named) return kDefaultPolicyName;
   return found->second.sharing->policy;
 }
 
--- a/libs/serving/src/slot_scheduler_pick.h
+++ b/libs/serving/src/slot_scheduler_pick.h
@@ -9,20 +9,20 @@
 SlotScheduler::Server* SlotScheduler::PickWeighted(
     std::string_view service, std::span<const BackendServerId> excluded,
     TimePoint now, Weight weight) {
-  Server* drawn = nullptr;
+  Server* picked = nullptr;
   double sum = 0;
   for (auto& [id, server] : servers_) {
     if (!Usable(server, service, excluded) || server.backoff_until > now) {
       continue;
     }
-    const double share = weight(server);
-    if (share <= 0) continue;
-    sum += share;
-    // Replaced with the chance of its share in the sum so far: a draw in one
-    // pass.
-    if (UniformUnit(rng_) * sum < share) drawn = &server;
+    const double server_weight = weight(server);
+    if (server_weight <= 0) continue;
+    sum += server_weight;
+    // Weighted reservoir sampling: each server replaces the choice with the
+    // probability of its weight in the sum so far, which takes one pass.
+    if (UniformUnit(rng_) * sum < server_weight) picked = &server;
   }
-  return drawn;
+  return picked;
 }
 
 }  // namespace knapweedstile::serving
--- a/libs/serving/src/slot_scheduler_reports.cc
+++ b/libs/serving/src/slot_scheduler_reports.cc
@@ -3,12 +3,12 @@
 
 #include "serving/slot_scheduler.h"
 
-// What other entries tell of their use of the backend servers.
+// Usage of the backend servers as reported by peers.
 namespace knapweedstile::serving {
 
-void SlotScheduler::SetPeerUsage(const std::string& entry,
+void SlotScheduler::SetPeerUsage(const std::string& peer,
                                  const UsageByProcess& usage, TimePoint now) {
-  PeerReport& report = peer_reports_[entry];
+  PeerReport& report = peer_reports_[peer];
   report.expires_at = now + settings_.report_lifetime;
   std::vector<ServerProcessId> idle;
   for (const auto& [process, known] : report.usage) {
@@ -20,10 +20,10 @@
     ApplyUsage(report, process, counts, now);
 }
 
-void SlotScheduler::UpdatePeerUsage(const std::string& entry,
+void SlotScheduler::UpdatePeerUsage(const std::string& peer,
                                     const UsageByProcess& changed,
                                     TimePoint now) {
-  PeerReport& report = peer_reports_[entry];
+  PeerReport& report = peer_reports_[peer];
   report.expires_at = now + settings_.report_lifetime;
   for (const auto& [process, counts] : changed) {
     ApplyUsage(report, process, counts, now);
@@ -50,22 +50,22 @@
   if (usage.total() == 0) report.usage.erase(process);
 }
 
-void SlotScheduler::RemovePeer(const std::string& entry) {
-  if (peer_reports_.erase(entry) > 0) SumPeerUsage();
+void SlotScheduler::RemovePeer(const std::string& peer) {
+  if (peer_reports_.erase(peer) > 0) SumPeerUsage();
 }
 
-// Failure guarded against: an entry that died keeps its slots counted as taken
-// for ever, so the fleet looks fuller than it is. Its silence drops them.
+// Guards against a terminated gateway whose slots stay counted as taken, so
+// that the fleet looks fuller than it is. Its usage expires without reports.
 void SlotScheduler::ExpirePeerReports(TimePoint now) {
-  const size_t dropped = std::erase_if(peer_reports_, [now](const auto& r) {
+  const size_t expired = std::erase_if(peer_reports_, [now](const auto& r) {
     return r.second.expires_at <= now;
   });
-  if (dropped > 0) SumPeerUsage();
+  if (expired > 0) SumPeerUsage();
 }
 
 void SlotScheduler::SumPeerUsage() {
   for (auto& [id, server] : servers_) server.peer_usage = {};
-  for (const auto& [entry, report] : peer_reports_) {
+  for (const auto& [peer, report] : peer_reports_) {
     for (const auto& [process, usage] : report.usage) {
       Server* server = FindProcess(process);
       if (!server) continue;
--- a/libs/serving/tests/event_stream_reader_test.cc
+++ b/libs/serving/tests/event_stream_reader_test.cc
@@ -7,7 +7,7 @@
 
 namespace knapweedstile::serving {
 
-TEST_CASE("events are given out whole, with their raw bytes") {
+TEST_CASE("events are returned complete, with their raw bytes") {
   EventStreamReader reader;
   reader.Append("weight-versions: 3\nid: 7\ndata: a\ndata: b\n\nid: 8\nda");
   const auto first = reader.Next();
@@ -26,9 +26,8 @@
   CHECK_FALSE(reader.HasPartial());
 }
 
-// A stream may be cut anywhere by the network. However it is cut, the same
-// events come out.
-TEST_CASE("the cuts of the network change nothing") {
+// The network may split a stream at any byte; the events must be the same.
+TEST_CASE("events do not depend on how the stream is split") {
   std::string stream;
   for (int i = 1; i <= 30; ++i) {
     stream +=
@@ -54,7 +53,7 @@
   }
 }
 
-TEST_CASE("the longest prefix of the host's routes is taken") {
+TEST_CASE("the longest matching prefix of the host's routes wins") {
   RouteTable table;
   table.routes.push_back({.name = "a", .host = "h", .path_prefix = "/x/"});
   table.routes.push_back({.name = "b", .host = "h", .path_prefix = "/x/y/"});
--- a/libs/serving/tests/fleet_model.h
+++ b/libs/serving/tests/fleet_model.h
@@ -14,10 +14,11 @@
 
 namespace knapweedstile::serving {
 
-// Entries with a slot board each before backend servers that admit in order of
-// arrival, in simulated time. Entries hear of each other's usage after a delay;
-// online traffic moves in steps, batch items fill what is left and hold a slot
-// for seconds. Judged by what callers receive: how long until a request runs.
+// Simulates gateways with one scheduler each in front of backend servers that
+// admit requests in order of arrival. Gateways receive each other's usage with
+// a delay; online traffic moves in steps, batch items fill the free slots and
+// hold them for seconds. The result is what callers experience: the time until
+// a request runs.
 class FleetModel {
  public:
   struct Settings {
@@ -28,29 +29,30 @@
     uint32_t slots = 8;
     double online_seconds = 0.74;
     double batch_seconds = 4.8;
-    // Online requests a second in the valley and at the peak.
+    // Online requests per second in the valley and at the peak.
     double valley_rate = 30;
     double peak_rate = 165;
     double valley_seconds = 3.0;
     double peak_seconds = 2.2;
-    bool batch = true;  // an endless supply of items
+    bool batch = true;  // unlimited supply of items
     double withdraw_seconds = 0.09;
-    bool preempt_batch = true;  // items leave where online requests wait
-    // An entry tells its usage this often, and it is known this much later.
+    bool preempt_batch = true;  // where online requests wait
+    // Seconds between the reports of a gateway, and until they are received.
     double report_interval = 0.008;
     double report_delay = 0.01;
-    // Each zone is a cell: its entries are told of its servers as above, and of
-    // all others four times a second.
+    // Each zone is a cell: its gateways report changes at its servers at this
+    // interval, and at all others four times a second.
     bool cells = false;
     double run_seconds = 30;
     double objective_seconds = 0.3;
     SlotSchedulerSettings scheduler;
-    // Instead of the board's rule: the least used server as the entry sees it.
+    // Uses the server with the fewest requests known to the gateway instead of
+    // the scheduler.
     bool least_used_rule = false;
   };
   struct Outcome {
     int online = 0;
-    int late = 0;  // waited for longer than half the objective
+    int late = 0;  // waited longer than half the objective
     int rejected = 0;
     double batch_slot_seconds = 0;
     double mean_wait = 0;
@@ -77,21 +79,21 @@
 
   Outcome Run() {
     double next_arrival = 0;
-    double next_share = 0;
-    double next_whole = 0;
+    double next_report = 0;
+    double next_full_report = 0;
     for (now_ = 0; now_ < settings_.run_seconds; now_ += kStep) {
       while (!events_.empty() && events_.top().at <= now_) {
         const Event event = events_.top();
         events_.pop();
         Finish(event);
       }
-      if (now_ >= next_share) {
+      if (now_ >= next_report) {
         SendReports(!settings_.cells);
-        next_share = now_ + settings_.report_interval;
+        next_report = now_ + settings_.report_interval;
       }
-      if (settings_.cells && now_ >= next_whole) {
+      if (settings_.cells && now_ >= next_full_report) {
         SendReports(true);
-        next_whole = now_ + kFullReportInterval;
+        next_full_report = now_ + kFullReportInterval;
       }
       while (next_arrival <= now_) {
         Arrive();
@@ -144,14 +146,14 @@
                                          : settings_.peak_rate;
   }
 
-  int Index(int entry, BackendServerId id) const {
-    return std::stoi(schedulers_[entry]->Record(id)->instance.substr(2));
+  int Index(int gateway, BackendServerId id) const {
+    return std::stoi(schedulers_[gateway]->Record(id)->instance.substr(2));
   }
 
-  void SendReports(bool whole) {
+  void SendReports(bool full) {
     for (int e = 0; e < settings_.gateways; ++e) {
-      messages_.push_back({now_ + settings_.report_delay, e, whole,
-                           schedulers_[e]->OwnUsage()});
+      messages_.push_back(
+          {now_ + settings_.report_delay, e, full, schedulers_[e]->OwnUsage()});
     }
     Deliver();
   }
@@ -166,28 +168,28 @@
     }
   }
 
-  void Deliver(const Message& message, int entry) {
+  void Deliver(const Message& message, int gateway) {
     const std::string from = std::to_string(message.from);
     if (message.full) {
-      return schedulers_[entry]->SetPeerUsage(from, message.usage, Now());
+      return schedulers_[gateway]->SetPeerUsage(from, message.usage, Now());
     }
-    UsageByProcess of_cell;
-    for (int s = entry % settings_.zones; s < settings_.servers;
+    UsageByProcess cell_usage;
+    for (int s = gateway % settings_.zones; s < settings_.servers;
          s += settings_.zones) {
       const ServerProcessId process = ProcessOf({.instance = Name(s)});
       const auto usage = message.usage.find(process);
-      of_cell[process] =
+      cell_usage[process] =
           usage == message.usage.end() ? ServerUsage() : usage->second;
     }
-    schedulers_[entry]->UpdatePeerUsage(from, of_cell, Now());
+    schedulers_[gateway]->UpdatePeerUsage(from, cell_usage, Now());
   }
 
-  BackendServerId LeastUsed(int entry) {
+  BackendServerId LeastUsed(int gateway) {
     BackendServerId best;
     for (int s = 0; s < settings_.servers; ++s) {
-      const BackendServerId id = schedulers_[entry]->Find(Name(s));
-      if (!best || schedulers_[entry]->UsageOf(id).total() <
-                       schedulers_[entry]->UsageOf(best).total()) {
+      const BackendServerId id = schedulers_[gateway]->Find(Name(s));
+      if (!best || schedulers_[gateway]->UsageOf(id).total() <
+                       schedulers_[gateway]->UsageOf(best).total()) {
         best = id;
       }
     }
@@ -195,12 +197,13 @@
   }
 
   void Arrive() {
-    const int entry = static_cast<int>(UniformBelow(rng_, settings_.gateways));
+    const int gateway =
+        static_cast<int>(UniformBelow(rng_, settings_.gateways));
     ++outcome_.online;
     if (settings_.least_used_rule) {
-      return Send(entry, LeastUsed(entry), true);
+      return Send(gateway, LeastUsed(gateway), true);
     }
-    const Placement placement = schedulers_[entry]->PlaceOnline(
+    const Placement placement = schedulers_[gateway]->PlaceOnline(
         "llm", FromSeconds(settings_.objective_seconds), {}, Now());
     if (placement.outcome != PlacementOutcome::kPlaced) {
       ++outcome_.rejected;
@@ -208,64 +211,64 @@
     }
     if (placement.preempts_batch) {
       const int owner = placement.preempted_peer.empty()
-                            ? entry
+                            ? gateway
                             : std::stoi(placement.preempted_peer);
-      CancelBatch(owner, Index(entry, placement.server));
+      CancelBatch(owner, Index(gateway, placement.server));
     }
-    Send(entry, placement.server, true);
+    Send(gateway, placement.server, true);
   }
 
   void StartBatch() {
-    for (int entry = 0; entry < settings_.gateways; ++entry) {
-      const double phase = 0.025 * entry / settings_.gateways;
+    for (int gateway = 0; gateway < settings_.gateways; ++gateway) {
+      const double phase = 0.025 * gateway / settings_.gateways;
       if (std::fmod(now_ + phase, 0.025) >= kStep) continue;
-      WithdrawQueued(entry);
+      WithdrawQueued(gateway);
       uint32_t budget =
-          schedulers_[entry]->BatchBudget("llm", settings_.gateways, Now());
+          schedulers_[gateway]->BatchBudget("llm", settings_.gateways, Now());
       while (budget-- > 0) {
         const BackendServerId id =
-            schedulers_[entry]->PlaceBatch("llm", {}, Now());
+            schedulers_[gateway]->PlaceBatch("llm", {}, Now());
         if (!id) break;
-        Send(entry, id, false);
+        Send(gateway, id, false);
       }
     }
   }
 
   void PreemptBatch() {
     constexpr double kEvery = 0.02;
-    for (int entry = 0; entry < settings_.gateways; ++entry) {
-      const double phase = kEvery * entry / settings_.gateways;
+    for (int gateway = 0; gateway < settings_.gateways; ++gateway) {
+      const double phase = kEvery * gateway / settings_.gateways;
       if (std::fmod(now_ + phase, kEvery) >= kStep) continue;
       for (const BackendServerId id :
-           schedulers_[entry]->ServersToPreempt(Now())) {
-        CancelBatch(entry, Index(entry, id));
+           schedulers_[gateway]->ServersToPreempt(Now())) {
+        CancelBatch(gateway, Index(gateway, id));
       }
     }
   }
 
-  // Items that wait in a server's queue are taken back after a while.
-  void WithdrawQueued(int entry) {
+  // Cancels items that have waited in a server's queue for `withdraw_seconds`.
+  void WithdrawQueued(int gateway) {
     for (int index = 0; index < settings_.servers; ++index) {
       for (const auto& request : servers_[index].queue) {
         if (request->online || request->cancelled ||
-            request->gateway != entry ||
+            request->gateway != gateway ||
             now_ - request->sent_at < settings_.withdraw_seconds) {
           continue;
         }
         request->cancelled = true;
-        schedulers_[entry]->OnRequestEnded(
-            schedulers_[entry]->Find(Name(index)), TrafficClass::kBatch);
+        schedulers_[gateway]->OnRequestEnded(
+            schedulers_[gateway]->Find(Name(index)), TrafficClass::kBatch);
         break;
       }
     }
   }
 
-  void Send(int entry, BackendServerId id, bool online) {
+  void Send(int gateway, BackendServerId id, bool online) {
     auto request = std::make_shared<Request>(
-        Request{.gateway = entry, .online = online, .sent_at = now_});
-    schedulers_[entry]->OnRequestStarted(
+        Request{.gateway = gateway, .online = online, .sent_at = now_});
+    schedulers_[gateway]->OnRequestStarted(
         id, online ? TrafficClass::kOnline : TrafficClass::kBatch);
-    const int server = Index(entry, id);
+    const int server = Index(gateway, id);
     servers_[server].queue.push_back(std::move(request));
     Admit(server);
   }
@@ -311,21 +314,22 @@
     Leave(event.server, event.request);
   }
 
-  void CancelBatch(int entry, int index) {
+  void CancelBatch(int gateway, int index) {
     Server& server = servers_[index];
     for (const auto& request : server.running) {
-      if (request->online || request->gateway != entry) continue;
+      if (request->online || request->gateway != gateway) continue;
       const auto kept = request;
       kept->cancelled = true;
       return Leave(index, kept);
     }
     for (const auto& request : server.queue) {
-      if (request->online || request->gateway != entry || request->cancelled) {
+      if (request->online || request->gateway != gateway ||
+          request->cancelled) {
         continue;
       }
       request->cancelled = true;
-      schedulers_[entry]->OnRequestEnded(schedulers_[entry]->Find(Name(index)),
-                                         TrafficClass::kBatch);
+      schedulers_[gateway]->OnRequestEnded(
+          schedulers_[gateway]->Find(Name(index)), TrafficClass::kBatch);
       return;
     }
   }
--- a/libs/serving/tests/job_table_test.cc
+++ b/libs/serving/tests/job_table_test.cc
@@ -27,8 +27,8 @@
   return {{.item = item, .output = "text of " + item}};
 }
 
-std::string NextJob(const JobTable& book) {
-  const auto item = book.NextItem(
+std::string NextJob(const JobTable& table) {
+  const auto item = table.NextItem(
       kNow, kNow + seconds(4), [](const BatchJob&) { return true; },
       [](const BatchItem&) { return true; });
   return item ? item->job : "";
@@ -36,100 +36,101 @@
 
 }  // namespace
 
-// After an outage more jobs wait than there is room for. Working on the oldest
-// first, which is late already, would make each of them late in turn.
-TEST_CASE("jobs that can still be in time go before overdue ones") {
-  JobTable book;
-  book.AddJob(MakeJob("overdue", 1, seconds(1)));
-  book.AddJob(MakeJob("later", 1, seconds(15)));
-  book.AddJob(MakeJob("soon", 1, seconds(8)));
-  CHECK(NextJob(book) == "soon");
-  book.SetRunning({"soon", 0});
-  CHECK(NextJob(book) == "later");
-  book.SetRunning({"later", 0});
-  CHECK(NextJob(book) == "overdue");
+// After an outage more jobs wait than there are slots. Running the oldest
+// first, which is overdue already, would make each of them late in turn.
+TEST_CASE("jobs that can still meet their deadline precede overdue ones") {
+  JobTable table;
+  table.AddJob(MakeJob("overdue", 1, seconds(1)));
+  table.AddJob(MakeJob("later", 1, seconds(15)));
+  table.AddJob(MakeJob("soon", 1, seconds(8)));
+  CHECK(NextJob(table) == "soon");
+  table.SetRunning({"soon", 0});
+  CHECK(NextJob(table) == "later");
+  table.SetRunning({"later", 0});
+  CHECK(NextJob(table) == "overdue");
 }
 
-TEST_CASE("segments that come early wait for those before them") {
-  JobTable book;
-  CHECK_FALSE(book.AddSegment("a", 1, ResultOf("a1")));
-  book.AddJob(MakeJob("a", 3, seconds(9)));
-  CHECK(book.Find("a")->results.empty());
-  CHECK(book.AddSegment("a", 0, ResultOf("a0")));
-  REQUIRE(book.Find("a")->results.size() == 2);
-  CHECK(book.Find("a")->results[1].item == "a1");
-  // The same segment again, as pushes and watches both bring it.
-  CHECK(book.AddSegment("a", 1, ResultOf("a1")));
-  CHECK(book.Find("a")->results.size() == 2);
-  CHECK(book.WaitingTokens({"summaries", ""}) == 10);
+TEST_CASE("segments received early wait for the missing ones") {
+  JobTable table;
+  CHECK_FALSE(table.AddSegment("a", 1, ResultOf("a1")));
+  table.AddJob(MakeJob("a", 3, seconds(9)));
+  CHECK(table.Find("a")->results.empty());
+  CHECK(table.AddSegment("a", 0, ResultOf("a0")));
+  REQUIRE(table.Find("a")->results.size() == 2);
+  CHECK(table.Find("a")->results[1].item == "a1");
+  // The same segment again: it arrives both by push and by watch.
+  CHECK(table.AddSegment("a", 1, ResultOf("a1")));
+  CHECK(table.Find("a")->results.size() == 2);
+  CHECK(table.WaitingTokens({"summaries", ""}) == 10);
 }
 
-TEST_CASE("an end that comes before its job holds") {
-  JobTable book;
-  book.EndJob("a");
-  book.AddJob(MakeJob("a", 3, seconds(9)));
-  CHECK_FALSE(book.Find("a")->open());
-  CHECK(NextJob(book).empty());
+TEST_CASE("an end received before its job takes effect") {
+  JobTable table;
+  table.EndJob("a");
+  table.AddJob(MakeJob("a", 3, seconds(9)));
+  CHECK_FALSE(table.Find("a")->open());
+  CHECK(NextJob(table).empty());
 }
 
-TEST_CASE("an item that another entry committed is not committed again") {
-  JobTable book;
-  book.AddJob(MakeJob("a", 2, seconds(9)));
-  book.SetFinished({"a", 0}, ItemState::kCompleted);
-  book.SetFinished({"a", 1}, ItemState::kCompleted);
-  REQUIRE(book.UncommittedResults("a").size() == 2);
-  book.AddSegment("a", 0, ResultOf("a0"));
-  REQUIRE(book.UncommittedResults("a").size() == 1);
-  CHECK(book.UncommittedResults("a").front().item == "a1");
-  // Its own late run ends afterwards.
-  book.SetFinished({"a", 0}, ItemState::kCompleted);
-  CHECK(book.UncommittedResults("a").size() == 1);
+TEST_CASE("an item committed by another gateway is not committed again") {
+  JobTable table;
+  table.AddJob(MakeJob("a", 2, seconds(9)));
+  table.SetFinished({"a", 0}, ItemState::kCompleted);
+  table.SetFinished({"a", 1}, ItemState::kCompleted);
+  REQUIRE(table.UncommittedResults("a").size() == 2);
+  table.AddSegment("a", 0, ResultOf("a0"));
+  REQUIRE(table.UncommittedResults("a").size() == 1);
+  CHECK(table.UncommittedResults("a").front().item == "a1");
+  // The own run ends late.
+  table.SetFinished({"a", 0}, ItemState::kCompleted);
+  CHECK(table.UncommittedResults("a").size() == 1);
 }
 
-// Two entries believe that they own the same jobs, run the same items, and race
-// for each segment's number; records reach each of them late and in any order.
-// Whatever happens, no item is listed twice, positions never change, and both
-// end with the same list.
+// Two gateways own the same jobs, run the same items and race for each
+// segment's number, and receive records late and in any order. No item may be
+// listed twice, no position may change, and both must end with the same list.
 TEST_CASE("two owners of the same jobs list each item once") {
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     Rng rng(seed);
     std::map<uint32_t, std::vector<ItemResult>> store;
-    JobTable books[2];
+    JobTable tables[2];
     std::vector<uint32_t> unread[2];
     constexpr int kItems = 8;
-    for (JobTable& book : books) book.AddJob(MakeJob("a", kItems, seconds(9)));
-    const auto read_one = [&](int who) {
-      if (unread[who].empty()) return;
-      const size_t at = UniformBelow(rng, unread[who].size());
-      const uint32_t number = unread[who][at];
-      unread[who].erase(unread[who].begin() + static_cast<ptrdiff_t>(at));
+    for (JobTable& table : tables)
+      table.AddJob(MakeJob("a", kItems, seconds(9)));
+    const auto read_one = [&](int gateway) {
+      if (unread[gateway].empty()) return;
+      const size_t at = UniformBelow(rng, unread[gateway].size());
+      const uint32_t number = unread[gateway][at];
+      unread[gateway].erase(unread[gateway].begin() +
+                            static_cast<ptrdiff_t>(at));
       auto copy = store.at(number);
-      books[who].AddSegment("a", number, std::move(copy));
+      tables[gateway].AddSegment("a", number, std::move(copy));
     };
-    const auto commit = [&](int who) {
-      auto results = books[who].UncommittedResults("a");
+    const auto commit = [&](int gateway) {
+      auto results = tables[gateway].UncommittedResults("a");
       if (results.empty()) return;
-      const uint32_t number = books[who].Find("a")->segments;
+      const uint32_t number = tables[gateway].Find("a")->segments;
       if (!store.contains(number)) {
         store[number] = results;
-        unread[1 - who].push_back(number);
+        unread[1 - gateway].push_back(number);
       }
-      // Its own write, or what the read after a conflict shows.
+      // The own write, or the record read after a conflict.
       auto copy = store.at(number);
-      books[who].AddSegment("a", number, std::move(copy));
+      tables[gateway].AddSegment("a", number, std::move(copy));
     };
     for (int step = 0; step < 400; ++step) {
-      const int who = static_cast<int>(UniformBelow(rng, 2));
+      const int gateway = static_cast<int>(UniformBelow(rng, 2));
       const uint64_t action = UniformBelow(rng, 4);
-      if (action == 0) read_one(who);
-      if (action == 1) commit(who);
+      if (action == 0) read_one(gateway);
+      if (action == 1) commit(gateway);
       if (action >= 2) {
         const auto item = static_cast<uint32_t>(UniformBelow(rng, kItems));
-        books[who].SetFinished({"a", item}, ItemState::kCompleted);
+        tables[gateway].SetFinished({"a", item}, ItemState::kCompleted);
       }
     }
-    for (int who = 0; who < 2; ++who) {
-      while (!unread[who].empty()) read_one(who);
+    for (int gateway = 0; gateway < 2; ++gateway) {
+      while (!unread[gateway].empty()) read_one(gateway);
     }
     std::map<std::string, int> listed;
     for (const auto& [number, results] : store) {
@@ -137,8 +138,8 @@
     }
     CHECK(listed.size() == kItems);
     for (const auto& [item, times] : listed) CHECK(times == 1);
-    const auto& first = books[0].Find("a")->results;
-    const auto& second = books[1].Find("a")->results;
+    const auto& first = tables[0].Find("a")->results;
+    const auto& second = tables[1].Find("a")->results;
     REQUIRE(first.size() == second.size());
     for (size_t i = 0; i < first.size(); ++i) {
       CHECK(first[i].item == second[i].item);
@@ -146,10 +147,10 @@
   }
 }
 
-// A gateway is killed, or stops for an upgrade, with items that have been
-// running for seconds. Who takes them over has been told how far they were and
-// goes on from there, instead of running them again from their start.
-TEST_CASE("another entry goes on with an item where it was told of it") {
+// A gateway is killed, or stops for an upgrade, while its items have been
+// running for seconds. The gateway that takes them over resumes from the last
+// published progress instead of restarting them.
+TEST_CASE("another gateway resumes an item from its published progress") {
   JobTable first;
   JobTable second;
   first.AddJob(MakeJob("j", 2, seconds(18)));
@@ -159,16 +160,16 @@
   progress.last_event = 20;
   progress.output = "twenty events";
   CHECK(first.TakeProgressUpdates(32, 1000).empty());
-  auto notes = first.TakeProgressUpdates(16, 1000);
-  REQUIRE(notes.size() == 1);
+  auto updates = first.TakeProgressUpdates(16, 1000);
+  REQUIRE(updates.size() == 1);
   CHECK(first.TakeProgressUpdates(1, 1000).empty());
-  second.MergeProgress(std::move(notes[0]));
+  second.MergeProgress(std::move(updates[0]));
   const ItemProgress& known = second.Find("j")->progress[0];
   CHECK(known.last_event == 20);
   CHECK(known.output == "twenty events");
-  // It is not told on and on.
+  // It is not published again.
   CHECK(second.TakeProgressUpdates(1, 1000).empty());
-  // An older note, and one for an item that runs here, change nothing.
+  // An older update, or one for an item that runs here, changes nothing.
   second.MergeProgress(
       {.job = "j", .item = "j0", .last_event = 10, .output = "ten"});
   CHECK(known.last_event == 20);
@@ -179,9 +180,10 @@
   second.MergeProgress({.job = "other", .item = "j0", .last_event = 9});
 }
 
-// An entry crashes and is back before its jobs are taken over. What it had told
-// of its items must come back to it, also while it still reads its records.
-TEST_CASE("an entry that has lost its memory is told what it had told") {
+// A gateway crashes and restarts before its jobs are taken over. The progress
+// that it had published must be sent back to it, also while it still reads its
+// records.
+TEST_CASE("a restarted gateway receives the progress it had published") {
   JobTable standby;
   BatchJob job = MakeJob("j", 2, seconds(18));
   job.creator = "entry-1";
@@ -192,40 +194,40 @@
   standby.RepublishProgress("entry-2");
   REQUIRE(standby.TakeProgressUpdates(16, 1000).empty());
   standby.RepublishProgress("entry-1");
-  auto notes = standby.TakeProgressUpdates(16, 1000);
-  REQUIRE(notes.size() == 1);
+  auto updates = standby.TakeProgressUpdates(16, 1000);
+  REQUIRE(updates.size() == 1);
   JobTable restarted;
-  restarted.MergeProgress(std::move(notes[0]));
+  restarted.MergeProgress(std::move(updates[0]));
   restarted.AddJob(std::move(job));
   CHECK(restarted.Find("j")->progress[1].last_event == 40);
   CHECK(restarted.Find("j")->progress[1].output == "40");
 }
 
-TEST_CASE("notes are bounded in bytes and come with the next call") {
-  JobTable book;
-  book.AddJob(MakeJob("j", 3, seconds(18)));
-  for (ItemProgress& progress : book.Find("j")->progress) {
+TEST_CASE("progress updates are bounded in bytes; the rest follows later") {
+  JobTable table;
+  table.AddJob(MakeJob("j", 3, seconds(18)));
+  for (ItemProgress& progress : table.Find("j")->progress) {
     progress.last_event = 5;
     progress.output = std::string(600, 'x');
   }
-  CHECK(book.TakeProgressUpdates(1, 1000).size() == 1);
-  CHECK(book.TakeProgressUpdates(1, 1300).size() == 2);
-  CHECK(book.TakeProgressUpdates(1, 1300).empty());
+  CHECK(table.TakeProgressUpdates(1, 1000).size() == 1);
+  CHECK(table.TakeProgressUpdates(1, 1300).size() == 2);
+  CHECK(table.TakeProgressUpdates(1, 1300).empty());
 }
 
-// An entry reads its records again every few seconds; those that it knows are
-// not to be decoded once more, also while an earlier one is missing.
-TEST_CASE("a segment that is known is told from a new one") {
-  JobTable book;
-  CHECK_FALSE(book.HasSegment("a", 0));
-  book.AddSegment("a", 1, ResultOf("a1"));
-  CHECK(book.HasSegment("a", 1));
-  CHECK_FALSE(book.HasSegment("a", 0));
-  book.AddJob(MakeJob("a", 3, seconds(9)));
-  book.AddSegment("a", 0, ResultOf("a0"));
-  CHECK(book.HasSegment("a", 0));
-  CHECK(book.HasSegment("a", 1));
-  CHECK_FALSE(book.HasSegment("a", 2));
+// A gateway reads its records again every few seconds. It must not decode known
+// segments again, also while an earlier one is missing.
+TEST_CASE("a known segment is distinguished from a new one") {
+  JobTable table;
+  CHECK_FALSE(table.HasSegment("a", 0));
+  table.AddSegment("a", 1, ResultOf("a1"));
+  CHECK(table.HasSegment("a", 1));
+  CHECK_FALSE(table.HasSegment("a", 0));
+  table.AddJob(MakeJob("a", 3, seconds(9)));
+  table.AddSegment("a", 0, ResultOf("a0"));
+  CHECK(table.HasSegment("a", 0));
+  CHECK(table.HasSegment("a", 1));
+  CHECK_FALSE(table.HasSegment("a", 2));
 }
 
 }  // namespace knapweedstile::serving
--- a/libs/serving/tests/route_table_test.cc
+++ b/libs/serving/tests/route_table_test.cc
@@ -16,10 +16,10 @@
 
 }  // namespace
 
-// The service is full. Of two workspaces that use the same route, the one that
-// the operators rank lower is turned away first; a route of low rank that has a
-// service for itself loses nothing by it.
-TEST_CASE("a workspace's priority goes before its route's") {
+// The service is saturated. Of two workspaces on the same route, the one with
+// the lower priority is rejected first; a low-priority route with a service of
+// its own is not affected.
+TEST_CASE("a workspace's priority overrides its route's") {
   RouteTable table;
   table.routes = {Named("query", 0, "llm"), Named("reply", 1, "llm"),
                   Named("nightly", 0, "app", RouteKind::kBatch),
--- a/libs/serving/tests/slot_scheduler_test.cc
+++ b/libs/serving/tests/slot_scheduler_test.cc
@@ -26,14 +26,14 @@
   return ProcessOf({.instance = instance, .start = start});
 }
 
-struct Board {
-  SlotScheduler board{{}, "zone-a", 7};
+struct Fleet {
+  SlotScheduler scheduler{{}, "zone-a", 7};
   BackendServerId Add(const std::string& instance, uint32_t slots = 2) {
-    board.Upsert(MakeServer(instance, slots));
-    return board.Find(instance);
+    scheduler.Upsert(MakeServer(instance, slots));
+    return scheduler.Find(instance);
   }
   Placement Place(TimePoint now = kNow) {
-    return board.PlaceOnline("llm", kObjective, {}, now);
+    return scheduler.PlaceOnline("llm", kObjective, {}, now);
   }
 };
 
@@ -45,210 +45,212 @@
 
 }  // namespace
 
-TEST_CASE("without any server a request is refused with a time to come back") {
-  Board fleet;
+TEST_CASE("without any server a request is rejected with a Retry-After") {
+  Fleet fleet;
   const Placement placement = fleet.Place();
   CHECK(placement.outcome == PlacementOutcome::kNoServer);
   CHECK(placement.retry_after > Duration::zero());
 }
 
-// A burst fills all slots and queues. A request that may wait half as long is
-// turned away while there is still a place for one that is urgent.
-TEST_CASE("the end of a queue is left to urgent requests") {
-  Board fleet;
+// A burst fills all slots and queues. A request with half the objective is
+// rejected while the queue still has room for a request with the full one.
+TEST_CASE("a shorter objective is rejected at a shorter queue") {
+  Fleet fleet;
   fleet.Add("i-1", 8);
   const auto place = [&](Duration objective) {
-    return fleet.board.PlaceOnline("llm", objective, {}, kNow);
+    return fleet.scheduler.PlaceOnline("llm", objective, {}, kNow);
   };
   while (place(kObjective / 2).outcome == PlacementOutcome::kPlaced) {
-    fleet.board.OnRequestStarted(fleet.board.Find("i-1"),
-                                 TrafficClass::kOnline);
+    fleet.scheduler.OnRequestStarted(fleet.scheduler.Find("i-1"),
+                                     TrafficClass::kOnline);
   }
   CHECK(place(kObjective / 2).outcome == PlacementOutcome::kSaturated);
   CHECK(place(kObjective).outcome == PlacementOutcome::kPlaced);
 }
 
-TEST_CASE("draining, excluded and other services' servers get nothing") {
-  Board fleet;
+TEST_CASE("draining and excluded servers and other services get no requests") {
+  Fleet fleet;
   ServerRecord draining = MakeServer("i-1");
   draining.draining = true;
-  fleet.board.Upsert(draining);
+  fleet.scheduler.Upsert(draining);
   ServerRecord other = MakeServer("i-2");
   other.service = "app";
-  fleet.board.Upsert(other);
+  fleet.scheduler.Upsert(other);
   const BackendServerId excluded = fleet.Add("i-3");
-  CHECK(fleet.board.PlaceOnline("llm", kObjective, {&excluded, 1}, kNow)
+  CHECK(fleet.scheduler.PlaceOnline("llm", kObjective, {&excluded, 1}, kNow)
             .outcome == PlacementOutcome::kNoServer);
 }
 
-// A server fell dark. Each request sent there costs its caller a connect
-// timeout; it is left alone for longer after each failure, but not for ever.
-TEST_CASE("an unreachable server is left alone for a while") {
-  Board fleet;
-  const BackendServerId dark = fleet.Add("i-1", 8);
-  const BackendServerId good = fleet.Add("i-2", 8);
-  fleet.board.MarkUnreachable(dark, kNow);
-  for (int i = 0; i < 20; ++i) CHECK(fleet.Place().server == good);
+// A server is unreachable, and each request sent there costs its caller a
+// connect timeout. The backoff grows with each failure but is bounded.
+TEST_CASE("an unreachable server gets no requests during its backoff") {
+  Fleet fleet;
+  const BackendServerId unreachable = fleet.Add("i-1", 8);
+  const BackendServerId reachable = fleet.Add("i-2", 8);
+  fleet.scheduler.MarkUnreachable(unreachable, kNow);
+  for (int i = 0; i < 20; ++i) CHECK(fleet.Place().server == reachable);
   std::set<BackendServerId> later;
   for (int i = 0; i < 50; ++i) {
     later.insert(fleet.Place(kNow + milliseconds(400)).server);
   }
   CHECK(later.size() == 2);
-  // When it is the only one, it is tried all the same.
-  fleet.board.Remove("i-2");
-  CHECK(fleet.Place().server == dark);
+  // It is still used when it is the only one.
+  fleet.scheduler.Remove("i-2");
+  CHECK(fleet.Place().server == unreachable);
 }
 
-TEST_CASE("with every slot taken a batch item gives up its slot") {
-  Board fleet;
+TEST_CASE("without a free slot a batch item is preempted") {
+  Fleet fleet;
   const BackendServerId server = fleet.Add("i-1");
-  fleet.board.OnRequestStarted(server, TrafficClass::kOnline);
-  fleet.board.SetPeerUsage("entry-2",
-                           {{Process("i-1"), {.online = 0, .batch = 1}}}, kNow);
+  fleet.scheduler.OnRequestStarted(server, TrafficClass::kOnline);
+  fleet.scheduler.SetPeerUsage(
+      "entry-2", {{Process("i-1"), {.online = 0, .batch = 1}}}, kNow);
   const Placement placement = fleet.Place();
   CHECK(placement.server == server);
   CHECK(placement.preempts_batch);
   CHECK(placement.preempted_peer == "entry-2");
-  // It is counted as gone, so the next request does not ask for it again.
+  // Its slot counts as free, so the next request does not preempt it again.
   CHECK_FALSE(fleet.Place().preempts_batch);
 }
 
 TEST_CASE("a request waits only as long as its objective allows") {
-  Board fleet;
+  Fleet fleet;
   const BackendServerId server = fleet.Add("i-1");
-  fleet.board.ObserveDuration(server, milliseconds(200));
-  fleet.board.OnRequestStarted(server, TrafficClass::kOnline);
-  fleet.board.OnRequestStarted(server, TrafficClass::kOnline);
-  // One run of 200 ms on two slots: 100 ms to wait.
+  fleet.scheduler.ObserveDuration(server, milliseconds(200));
+  fleet.scheduler.OnRequestStarted(server, TrafficClass::kOnline);
+  fleet.scheduler.OnRequestStarted(server, TrafficClass::kOnline);
+  // One run of 200 ms on two slots: a wait of 100 ms.
   CHECK(fleet.Place().outcome == PlacementOutcome::kPlaced);
-  fleet.board.OnRequestStarted(server, TrafficClass::kOnline);
-  const Placement refused = fleet.Place();
-  CHECK(refused.outcome == PlacementOutcome::kSaturated);
-  CHECK(refused.retry_after > Duration::zero());
+  fleet.scheduler.OnRequestStarted(server, TrafficClass::kOnline);
+  const Placement rejected = fleet.Place();
+  CHECK(rejected.outcome == PlacementOutcome::kSaturated);
+  CHECK(rejected.retry_after > Duration::zero());
 }
 
-TEST_CASE("what a silent entry had outstanding is dropped") {
-  Board fleet;
+TEST_CASE("the usage of an unreachable peer expires") {
+  Fleet fleet;
   const BackendServerId server = fleet.Add("i-1");
-  fleet.board.SetPeerUsage("entry-2",
-                           {{Process("i-1"), {.online = 2, .batch = 0}}}, kNow);
-  CHECK(fleet.board.UsageOf(server).total() == 2);
-  fleet.board.ExpirePeerReports(kNow + std::chrono::seconds(2));
-  CHECK(fleet.board.UsageOf(server).total() == 0);
+  fleet.scheduler.SetPeerUsage(
+      "entry-2", {{Process("i-1"), {.online = 2, .batch = 0}}}, kNow);
+  CHECK(fleet.scheduler.UsageOf(server).total() == 2);
+  fleet.scheduler.ExpirePeerReports(kNow + std::chrono::seconds(2));
+  CHECK(fleet.scheduler.UsageOf(server).total() == 0);
 }
 
-TEST_CASE("partial reports change only what they name") {
-  Board fleet;
+TEST_CASE("incremental reports change only the processes they list") {
+  Fleet fleet;
   const BackendServerId first = fleet.Add("i-1");
   const BackendServerId second = fleet.Add("i-2");
-  fleet.board.SetPeerUsage(
+  fleet.scheduler.SetPeerUsage(
       "entry-2",
       {{Process("i-1"), {.online = 1, .batch = 0}}, {Process("i-2"), {2, 0}}},
       kNow);
-  fleet.board.UpdatePeerUsage("entry-2", {{Process("i-1"), {0, 0}}}, kNow);
-  CHECK(fleet.board.UsageOf(first).total() == 0);
-  CHECK(fleet.board.UsageOf(second).total() == 2);
-  fleet.board.SetPeerUsage("entry-2", {}, kNow);
-  CHECK(fleet.board.UsageOf(second).total() == 0);
+  fleet.scheduler.UpdatePeerUsage("entry-2", {{Process("i-1"), {0, 0}}}, kNow);
+  CHECK(fleet.scheduler.UsageOf(first).total() == 0);
+  CHECK(fleet.scheduler.UsageOf(second).total() == 2);
+  fleet.scheduler.SetPeerUsage("entry-2", {}, kNow);
+  CHECK(fleet.scheduler.UsageOf(second).total() == 0);
 }
 
-// All entries restart at the same moment and see every slot free. Starting
-// whatever fits would put each slot's item there once for each entry.
-TEST_CASE("entries that start together share the room for batch") {
-  Board fleet;
+// All gateways restart at the same moment and see every slot free. If each used
+// all of them, every slot would get one item per gateway.
+TEST_CASE("gateways that start together share the batch headroom") {
+  Fleet fleet;
   for (int i = 0; i < 4; ++i) fleet.Add("i-" + std::to_string(i), 8);
-  const uint32_t budget = fleet.board.BatchBudget("llm", 4, kNow);
+  const uint32_t budget = fleet.scheduler.BatchBudget("llm", 4, kNow);
   CHECK(budget >= 1);
   CHECK(4 * budget <= 4 * 8);
 }
 
-// Load: online traffic steps from a quarter of the slots to just under all of
-// them, 165 a second on 128 slots, beside endless batch. Entries hear of each
-// other after 10 ms.
-TEST_CASE("online requests are in time at the peak, beside batch") {
+// Online traffic steps from a quarter of the slots to just under all of them,
+// 165 requests per second on 128 slots, next to unlimited batch. Reports
+// between gateways take 10 ms.
+TEST_CASE("online requests are on time at the peak, next to batch") {
   FleetModel::Outcome least_used;
-  FleetModel::Outcome by_lot;
+  FleetModel::Outcome weighted;
   FleetModel::Outcome free_first;  // without the rule for scarce slots
   for (uint64_t seed = 1; seed <= 3; ++seed) {
     FleetModel::Settings settings;
     settings.seed = seed;
     settings.preempt_batch = false;
-    Add(by_lot, FleetModel(settings).Run());
+    Add(weighted, FleetModel(settings).Run());
     settings.scheduler.scarce_factor = 0;
     Add(free_first, FleetModel(settings).Run());
     settings.least_used_rule = true;
     Add(least_used, FleetModel(settings).Run());
   }
-  CAPTURE(by_lot.online, by_lot.late, free_first.late, least_used.late,
-          by_lot.batch_slot_seconds);
-  // Without giving way, requests wait for batch items.
+  CAPTURE(weighted.online, weighted.late, free_first.late, least_used.late,
+          weighted.batch_slot_seconds);
+  // Without preemption by waiting time, requests wait for batch items.
   CHECK(least_used.late * 100 > least_used.online * 50);
-  CHECK(free_first.late * 100 > by_lot.late * 140);
-  CHECK(by_lot.late * 100 < by_lot.online * 18);
-  // And batch gets most of what the valleys leave: 3 s of 5.2 s, some 96 of
-  // 128 slots, over 30 s and three seeds.
-  CHECK(by_lot.batch_slot_seconds > 0.8 * 3 * 30 * 96 * 3.0 / 5.2);
+  CHECK(free_first.late * 100 > weighted.late * 140);
+  CHECK(weighted.late * 100 < weighted.online * 18);
+  // And batch gets most of the capacity of the valleys: 3 s of 5.2 s, about 96
+  // of 128 slots, over 30 s and three seeds.
+  CHECK(weighted.batch_slot_seconds > 0.8 * 3 * 30 * 96 * 3.0 / 5.2);
 }
 
-// Load: the same. Two entries take the last free slot in the same milliseconds;
-// without giving way one of the two requests waits for the end of another.
-// Aim: under half as many late ones, and batch keeps nine tenths of its time.
-TEST_CASE("items leave where online requests wait behind them") {
+// The same load. Two gateways take the last free slot within the same
+// milliseconds; without preemption one of the two requests waits until another
+// one ends. Aim: fewer than half as many late requests, and batch keeps nine
+// tenths of its slot time.
+TEST_CASE("items are preempted where online requests wait behind them") {
   FleetModel::Outcome waiting;
-  FleetModel::Outcome giving_way;
+  FleetModel::Outcome preempting;
   for (uint64_t seed = 1; seed <= 3; ++seed) {
     FleetModel::Settings settings;
     settings.seed = seed;
-    Add(giving_way, FleetModel(settings).Run());
+    Add(preempting, FleetModel(settings).Run());
     settings.preempt_batch = false;
     Add(waiting, FleetModel(settings).Run());
   }
-  CAPTURE(giving_way.online, giving_way.late, waiting.late,
-          giving_way.batch_slot_seconds, waiting.batch_slot_seconds);
-  CHECK(giving_way.late * 2 < waiting.late);
-  CHECK(giving_way.batch_slot_seconds > 0.9 * waiting.batch_slot_seconds);
+  CAPTURE(preempting.online, preempting.late, waiting.late,
+          preempting.batch_slot_seconds, waiting.batch_slot_seconds);
+  CHECK(preempting.late * 2 < waiting.late);
+  CHECK(preempting.batch_slot_seconds > 0.9 * waiting.batch_slot_seconds);
 }
 
-// One entry's end is known here before the start that takes its place, so a
-// server looks overfull for some milliseconds. Nothing gives way for that.
-TEST_CASE("an item leaves only where the excess stays") {
-  Board fleet;
+// The report of a start may arrive before the report of the end that made room
+// for it, so a server looks oversubscribed for some milliseconds. Nothing is
+// preempted for that.
+TEST_CASE("an item is preempted only on lasting oversubscription") {
+  Fleet fleet;
   const BackendServerId server = fleet.Add("i-1");
-  fleet.board.OnRequestStarted(server, TrafficClass::kBatch);
-  fleet.board.OnRequestStarted(server, TrafficClass::kOnline);
-  CHECK(fleet.board.ServersToPreempt(kNow).empty());
-  fleet.board.OnRequestStarted(server, TrafficClass::kOnline);
-  CHECK(fleet.board.ServersToPreempt(kNow).empty());
-  CHECK(fleet.board.ServersToPreempt(kNow + milliseconds(20)) ==
+  fleet.scheduler.OnRequestStarted(server, TrafficClass::kBatch);
+  fleet.scheduler.OnRequestStarted(server, TrafficClass::kOnline);
+  CHECK(fleet.scheduler.ServersToPreempt(kNow).empty());
+  fleet.scheduler.OnRequestStarted(server, TrafficClass::kOnline);
+  CHECK(fleet.scheduler.ServersToPreempt(kNow).empty());
+  CHECK(fleet.scheduler.ServersToPreempt(kNow + milliseconds(20)) ==
         std::vector<BackendServerId>{server});
-  fleet.board.OnRequestEnded(server, TrafficClass::kBatch);
-  CHECK(fleet.board.ServersToPreempt(kNow + milliseconds(40)).empty());
+  fleet.scheduler.OnRequestEnded(server, TrafficClass::kBatch);
+  CHECK(fleet.scheduler.ServersToPreempt(kNow + milliseconds(40)).empty());
 }
 
-// Load: the same without batch and with more entries, whose views are 30 ms
-// old. All send to the server that looks emptiest.
-TEST_CASE("entries with old views do not herd") {
+// The same load without batch and with more gateways, whose views are 30 ms
+// old. With the least-used rule all send to the server that looks emptiest.
+TEST_CASE("gateways with outdated views do not herd") {
   FleetModel::Settings settings;
   settings.gateways = 18;
   settings.batch = false;
   settings.report_delay = 0.03;
   settings.valley_rate = 140;
   settings.peak_rate = 140;
-  const auto by_lot = FleetModel(settings).Run();
+  const auto weighted = FleetModel(settings).Run();
   settings.least_used_rule = true;
   const auto least_used = FleetModel(settings).Run();
-  CAPTURE(by_lot.online, by_lot.late, by_lot.rejected, least_used.late);
-  CHECK(by_lot.late + by_lot.rejected < least_used.late);
-  CHECK((by_lot.late + by_lot.rejected) * 100 < by_lot.online * 5);
+  CAPTURE(weighted.online, weighted.late, weighted.rejected, least_used.late);
+  CHECK(weighted.late + weighted.rejected < least_used.late);
+  CHECK((weighted.late + weighted.rejected) * 100 < weighted.online * 5);
 }
 
-// Load: steps from a quarter to over two thirds of 420 slots beside endless
-// batch, through 60 entries. With one fleet each entry tells its 59 others
-// every 59 ms, and the same free slot is taken several times. In cells of a
-// zone, with 30 changes a second and 11 ms between messages, a third of the
-// changes wait for the message before: 2 ms in the mean. Aim: under 5 in 100
-// late.
-TEST_CASE("many entries are in time at the peak where a zone is a cell") {
+// Steps from a quarter to over two thirds of 420 slots, next to unlimited
+// batch, through 60 gateways. With a single cell each gateway reports to its 59
+// peers every 59 ms, and the same free slot is taken several times. With a cell
+// per zone, 30 changes a second and 11 ms between messages, a third of the
+// changes wait for the message before, 2 ms on average. Aim: fewer than 5 in
+// 100 late.
+TEST_CASE("many gateways are on time at the peak with a cell per zone") {
   FleetModel::Settings settings;
   settings.gateways = 60;
   settings.servers = 60;
@@ -271,45 +273,45 @@
   CHECK(cells.batch_slot_seconds > 0.9 * one_fleet.batch_slot_seconds);
 }
 
-// A cell whose servers are full sends its callers to a zone that has room,
-// rather than cut off its own items or queue.
-TEST_CASE("beyond its cell an entry uses servers with room") {
-  SlotScheduler board({}, "zone-a", 7);
-  board.Upsert(MakeServer("near", 1, "zone-a"));
-  board.Upsert(MakeServer("far", 4, "zone-b"));
-  board.SetCell({.availability_zone = "zone-a"}, 2);
-  const BackendServerId near = board.Find("near");
-  const BackendServerId far = board.Find("far");
+// A full cell sends requests to a zone with free slots, rather than preempt its
+// own items or queue.
+TEST_CASE("a gateway uses servers of other cells that have free slots") {
+  SlotScheduler scheduler({}, "zone-a", 7);
+  scheduler.Upsert(MakeServer("near", 1, "zone-a"));
+  scheduler.Upsert(MakeServer("far", 4, "zone-b"));
+  scheduler.SetCell({.availability_zone = "zone-a"}, 2);
+  const BackendServerId same_cell = scheduler.Find("near");
+  const BackendServerId other_cell = scheduler.Find("far");
   const auto place = [&] {
-    return board.PlaceOnline("llm", kObjective, {}, kNow);
+    return scheduler.PlaceOnline("llm", kObjective, {}, kNow);
   };
-  CHECK(place().server == near);
-  board.OnRequestStarted(near, TrafficClass::kBatch);
-  CHECK(place().server == far);
-  // Its last free slot may be taken by its own entries at this moment.
+  CHECK(place().server == same_cell);
+  scheduler.OnRequestStarted(same_cell, TrafficClass::kBatch);
+  CHECK(place().server == other_cell);
+  // Its last free slot may be taken by gateways of its own cell at this moment.
   for (int i = 0; i < 3; ++i)
-    board.OnRequestStarted(far, TrafficClass::kOnline);
-  const Placement displacing = place();
-  CHECK(displacing.server == near);
-  CHECK(displacing.preempts_batch);
-  board.OnRequestEnded(near, TrafficClass::kBatch);
-  board.OnRequestStarted(near, TrafficClass::kOnline);
-  CHECK(place().server == far);
+    scheduler.OnRequestStarted(other_cell, TrafficClass::kOnline);
+  const Placement preempting = place();
+  CHECK(preempting.server == same_cell);
+  CHECK(preempting.preempts_batch);
+  scheduler.OnRequestEnded(same_cell, TrafficClass::kBatch);
+  scheduler.OnRequestStarted(same_cell, TrafficClass::kOnline);
+  CHECK(place().server == other_cell);
 }
 
-TEST_CASE("items start beyond the cell only where many slots are free") {
-  SlotScheduler board({}, "zone-a", 7);
-  board.Upsert(MakeServer("far", 4, "zone-b"));
-  board.SetCell({.availability_zone = "zone-a"}, 2);
-  const BackendServerId far = board.Find("far");
-  CHECK(board.PlaceBatch("llm", {}, kNow) == far);
-  board.OnRequestStarted(far, TrafficClass::kBatch);
-  CHECK_FALSE(board.PlaceBatch("llm", {}, kNow));
+TEST_CASE("items start in other cells only where many slots are free") {
+  SlotScheduler scheduler({}, "zone-a", 7);
+  scheduler.Upsert(MakeServer("far", 4, "zone-b"));
+  scheduler.SetCell({.availability_zone = "zone-a"}, 2);
+  const BackendServerId other_cell = scheduler.Find("far");
+  CHECK(scheduler.PlaceBatch("llm", {}, kNow) == other_cell);
+  scheduler.OnRequestStarted(other_cell, TrafficClass::kBatch);
+  CHECK_FALSE(scheduler.PlaceBatch("llm", {}, kNow));
 }
 
-// Load: twice what the fleet can run. Requests that cannot be served in time
-// are turned away at once; those that are taken are served soon.
-TEST_CASE("under overload the refused are refused and the rest is in time") {
+// Overload of twice the capacity. Requests that cannot be served on time are
+// rejected at once; accepted ones are served soon.
+TEST_CASE("under overload the excess is rejected and the rest is on time") {
   FleetModel::Settings settings;
   settings.batch = false;
   settings.valley_rate = 346;
@@ -321,30 +323,31 @@
   CHECK(outcome.mean_wait < 0.2);
 }
 
-// A server that was full crashes and is back under its name within a second,
-// while this entry and another one still count what its former process had. It
-// is empty, and must be used at once.
-TEST_CASE("a server that has started again is taken as empty") {
-  SlotScheduler board({}, "zone-a", 7);
+// A full server crashes and restarts under its name within a second, while this
+// gateway and a peer still count requests of its previous process. It is idle
+// and must be used at once.
+TEST_CASE("a restarted server counts as idle") {
+  SlotScheduler scheduler({}, "zone-a", 7);
   ServerRecord record = MakeServer("i-1", 2);
   record.start = 100;
-  board.Upsert(record);
-  const BackendServerId former = board.Find("i-1");
-  board.OnRequestStarted(former, TrafficClass::kOnline);
-  board.SetPeerUsage("entry-2", {{Process("i-1", 100), {1, 0}}}, kNow);
-  board.MarkUnreachable(former, kNow);
+  scheduler.Upsert(record);
+  const BackendServerId previous = scheduler.Find("i-1");
+  scheduler.OnRequestStarted(previous, TrafficClass::kOnline);
+  scheduler.SetPeerUsage("entry-2", {{Process("i-1", 100), {1, 0}}}, kNow);
+  scheduler.MarkUnreachable(previous, kNow);
   record.start = 200;
-  board.Upsert(record);
-  const BackendServerId present = board.Find("i-1");
-  CHECK(present != former);
-  CHECK(board.CountSlots("llm", kNow).free == 2);
-  // Counts of the former process still come, and its requests still end.
-  board.SetPeerUsage("entry-2", {{Process("i-1", 100), {1, 0}}}, kNow);
-  CHECK(board.UsageOf(present).total() == 0);
-  board.OnRequestEnded(former, TrafficClass::kOnline);
-  CHECK(board.Record(former) == nullptr);
-  board.SetPeerUsage("entry-2", {{Process("i-1", 200), {1, 0}}}, kNow);
-  CHECK(board.UsageOf(present).total() == 1);
+  scheduler.Upsert(record);
+  const BackendServerId current = scheduler.Find("i-1");
+  CHECK(current != previous);
+  CHECK(scheduler.CountSlots("llm", kNow).free == 2);
+  // Usage of the previous process is still reported, and its requests still
+  // end.
+  scheduler.SetPeerUsage("entry-2", {{Process("i-1", 100), {1, 0}}}, kNow);
+  CHECK(scheduler.UsageOf(current).total() == 0);
+  scheduler.OnRequestEnded(previous, TrafficClass::kOnline);
+  CHECK(scheduler.Record(previous) == nullptr);
+  scheduler.SetPeerUsage("entry-2", {{Process("i-1", 200), {1, 0}}}, kNow);
+  CHECK(scheduler.UsageOf(current).total() == 1);
 }
 
 }  // namespace knapweedstile::serving
