--- a/libs/decide/include/decide/policy_comparison.h
+++ b/libs/decide/include/decide/policy_comparison.h
@@ -10,23 +10,24 @@
 #include "base/time.h"
 #include "base/traffic_class.h"
 
-// A comparison of two serving policies that is fair on one fleet.
+// Fair comparison of two serving policies on one fleet.
 //
-// Load pattern answered: load and the fleet change while two policies are
-// compared. Comparing the policy of the morning with that of the afternoon
-// compares the hours. So the time is cut into short blocks, each block holds
-// samples of both policies, and only differences inside blocks count.
+// Guards against changes of the load and the fleet during the comparison: one
+// policy in the morning and the other in the afternoon would compare the hours
+// instead. Time is therefore cut into short blocks, each block holds samples of
+// both policies, and only differences within blocks count.
 //
 // Two designs give such blocks:
-//  - split: two halves of the fleet serve under one policy each, requests are
-//    assigned to a half by hash, and the halves swap policies in each block;
-//  - alternate: the whole fleet serves under one policy for half of the block
-//    and under the other for the other half, the order drawn for each block.
 //
-// The confidence intervals come from resampling whole blocks (bootstrap), since
-// samples inside a block are not independent of each other. A verdict asks
-// besides that exchanging the two sides in random blocks seldom differs as much
-// as what was measured, which holds with as few as six blocks.
+// - split: two halves of the fleet serve under one policy each, requests are
+//   assigned to a half by hash, and the halves swap policies in each block;
+// - alternate: the whole fleet serves under one policy for half of the block
+//   and under the other for the other half, in random order per block.
+//
+// The confidence intervals come from a block bootstrap, since samples within a
+// block are not independent of each other. A verdict also requires a
+// permutation test: exchanging the two sides in random blocks must seldom give
+// as large a difference as observed. It is valid with as few as six blocks.
 namespace knapweedstile::decide {
 
 enum class PolicySide { kFirst, kSecond };
@@ -35,7 +36,7 @@
 
 enum class ComparisonVerdict { kFirstBetter, kSecondBetter, kWithinNoise };
 
-// One online answer or one completed batch item.
+// One online response or one completed batch item.
 struct ComparisonSample {
   PolicySide side = PolicySide::kFirst;  // the policy that served it
   TrafficClass traffic_class = TrafficClass::kOnline;
@@ -46,29 +47,30 @@
 struct ComparisonSettings {
   ComparisonDesign design = ComparisonDesign::kSplit;
   TimePoint start;
-  TimePoint end;  // a part of a block at the end is left out
-  // Ground: much longer than one request, short against changes of the load.
+  TimePoint end;  // an incomplete last block is left out
+  // Much longer than one request, short against changes of the load.
   Duration block = std::chrono::seconds(60);
-  // Samples this soon after a switch are left out: what the other policy had
-  // started still runs. Ground: a typical request's time. To be measured.
+  // Samples within this time after a switch are left out, because requests that
+  // started under the other policy still run; about the duration of a typical
+  // request.
   Duration settle = std::chrono::seconds(5);
   double confidence = 0.95;
   uint32_t resamples = 1000;
   uint64_t seed = 1;
 };
 
-// Which policy serves a request (split design). Drawn anew for each block, so a
-// caller or prompt is not bound to one policy.
+// Policy that serves a request (split design). Assigned anew in each block, so
+// that a caller or prompt is not bound to one policy.
 PolicySide SideOfRequest(uint64_t request_hash, uint64_t block, uint64_t seed);
 
-// Which policy an engine of half 0 or 1 serves under in a block (split design).
+// Policy of the engines of fleet half 0 or 1 in a block (split design).
 PolicySide SideOfFleetHalf(uint32_t half, uint64_t block, uint64_t seed);
 
-// Which policy is in force in the first or second half of the block's time
+// Policy that applies in the first or second half of the block's time
 // (alternate design).
 PolicySide SideOfBlockHalf(bool second_half, uint64_t block, uint64_t seed);
 
-// What callers and jobs received under one policy.
+// Latency and throughput measured under one policy.
 struct SideResult {
   uint64_t online_samples = 0;
   uint64_t batch_items = 0;
@@ -79,7 +81,7 @@
   double batch_items_per_second = 0;
 };
 
-// Second over first, with its confidence interval.
+// Ratio of the second policy to the first, with its confidence interval.
 struct RatioInterval {
   double ratio = 1;
   double low = 0;
@@ -89,7 +91,7 @@
 struct PolicyComparison {
   SideResult first;
   SideResult second;
-  uint32_t blocks = 0;  // that hold online or batch samples of both
+  uint32_t blocks = 0;  // with online or batch samples of both
   RatioInterval online_p99;
   RatioInterval batch_rate;
   ComparisonVerdict online_tail = ComparisonVerdict::kWithinNoise;
--- a/libs/decide/include/decide/sharing_policy.h
+++ b/libs/decide/include/decide/sharing_policy.h
@@ -10,22 +10,22 @@
 
 namespace knapweedstile::decide {
 
-// The ways of sharing a backend server between online and batch.
+// Ways to share a backend server between online and batch requests.
 enum class SharingKind {
-  kStaticShare,     // a fixed number of slots for batch, never more
-  kPriorityCancel,  // batch takes all idle slots, online cancels it at once
-  kArrivalReserve,  // as above, but keeps free what recent arrivals need
+  kStaticShare,     // a fixed number of slots for batch
+  kPriorityCancel,  // batch uses all idle slots, online preempts
+  kArrivalReserve,  // the same, with a reserve for recent demand
 };
 
-// The parameters of one serving policy, as its object gives them.
+// Parameters of one serving policy, as stored in its object.
 struct SharingPolicy {
   std::string name = "default";
   uint64_t revision = 0;
   SharingKind kind = SharingKind::kPriorityCancel;
   // kStaticShare: share of the slots that batch may hold, in thousandths.
   uint32_t batch_share_permille = 250;
-  // kArrivalReserve: how many standard deviations of recent concurrent online
-  // requests above the mean are kept free, in hundredths.
+  // kArrivalReserve: slots that are kept free, as the mean of recent concurrent
+  // online requests plus this many standard deviations, in hundredths.
   uint32_t reserve_sigma_percent = 200;
 };
 
