--- a/libs/cluster/include/cluster/cell_map.h
+++ b/libs/cluster/include/cluster/cell_map.h
@@ -11,37 +11,38 @@
 
 namespace knapweedstile::cluster {
 
-// Which cell each entry is in, from the entries that are heard of and their
-// availability zones. No network, clock or thread. Two entries that hear of
-// different ones may differ for a moment; a change then arrives late, with the
-// next whole state.
+// Assigns gateways to cells, from the reachable gateways and their availability
+// zones. Pure logic: no I/O, no clock, no threads. Two gateways that reach
+// different sets of gateways may disagree for a moment; a change of usage then
+// arrives late, with the next full report.
 //
-// Load pattern: every entry starts and ends some twenty requests a second. Sent
-// to all others, changes grow with the square of the fleet, and each has to be
-// held back for so long that others take the same slot meanwhile.
+// Designed for gateways that start and end some twenty requests a second each.
+// Sent to all gateways, the changes grow with the square of the fleet, and each
+// would have to be delayed for so long that others take the same slot in the
+// meantime.
 class CellMap {
  public:
   using Cell = serving::Cell;
 
-  // Availability zone by entry.
+  // Availability zones by gateway name.
   explicit CellMap(const std::map<std::string, std::string>& zones);
   CellMap() = default;
-  // The cells of a divided fleet, from all registered gateways. A gateway's
-  // cell depends on its name and zone only, as long as the zone keeps about its
-  // size, so that one that comes or goes moves no other.
+  // The cells of a divided fleet, from all registered gateways. The cell of a
+  // gateway depends only on its name and zone while the zone keeps about its
+  // size, so that a gateway that joins or leaves moves no other.
   static CellMap ForDividedFleet(
       const std::map<std::string, std::string>& zones);
 
-  // The whole fleet for an entry that is not known.
-  Cell CellOf(const std::string& entry) const;
-  // The cell whose readers of the store the entry follows.
-  Cell StoreReaderCellOf(const std::string& entry) const;
-  // The same for a gateway of a divided fleet that is not registered yet.
+  // The cell of a gateway; the whole fleet if the gateway is unknown.
+  Cell CellOf(const std::string& gateway) const;
+  // The cell whose store readers the gateway follows.
+  Cell StoreReaderCellOf(const std::string& gateway) const;
+  // The cell of a gateway of a divided fleet, also before it is registered.
   Cell ComputeCell(const std::string& gateway, const std::string& zone) const;
-  // Entries of the cell.
+  // Number of gateways in the cell.
   size_t CountGateways(const Cell& cell) const;
   std::vector<std::string> GatewaysIn(const Cell& cell) const;
-  // All cells that have gateways.
+  // All cells with at least one gateway.
   std::vector<Cell> Cells() const;
 
  private:
--- a/libs/cluster/include/cluster/fleet_layout.h
+++ b/libs/cluster/include/cluster/fleet_layout.h
@@ -6,8 +6,8 @@
 
 namespace knapweedstile::cluster {
 
-// How the batch jobs of a fleet are divided among its gateways. Written to the
-// store once, so that all gateways use the same one at all times.
+// Division of a fleet's batch jobs among its gateways. Written to the store
+// once, so that all gateways use the same layout at all times.
 struct FleetLayout {
   // One: every gateway holds every job.
   uint32_t shards = 1;
@@ -16,7 +16,7 @@
   bool operator==(const FleetLayout&) const = default;
 };
 
-// The layout for a new fleet of that many gateways.
+// The layout for a new fleet of this many gateways.
 FleetLayout LayoutFor(size_t gateways);
 
 }  // namespace knapweedstile::cluster
--- a/libs/cluster/include/cluster/fleet_view.h
+++ b/libs/cluster/include/cluster/fleet_view.h
@@ -15,15 +15,16 @@
 
 namespace knapweedstile::cluster {
 
-// The fleet as one gateway knows it: who is registered, in which cell, and who
-// holds which batch jobs. No network, clock or thread.
+// The fleet as seen by one gateway: the registered gateways, their cells, and
+// which of them hold which batch jobs. Pure logic: no I/O, no clock, no
+// threads.
 //
-// Load pattern: hundreds of gateways with a few requests a second each. Whole
-// state sent to all others costs each gateway more than its requests do. In a
-// divided fleet a gateway exchanges state with its cell only, whose size does
-// not grow with the fleet; a batch job is held by one cell, and the others pass
-// its calls on. What still grows is this directory, a name and an address for
-// each gateway, which changes only when gateways come or go.
+// Designed for hundreds of gateways with a few requests a second each, where
+// full state sent to all others would cost each gateway more than its requests.
+// In a divided fleet a gateway exchanges state with its cell only, whose size
+// does not grow with the fleet. A batch job is held by one cell, and the other
+// cells forward its calls. What still grows is this directory, a name and an
+// address per gateway, which changes only when gateways join or leave.
 class FleetView {
  public:
   FleetView(std::string own_name, Member own);
@@ -32,7 +33,7 @@
   void SetMember(const std::string& name, const Member& member);
   void RemoveMember(const std::string& name);
   void SetLayout(const FleetLayout& layout);
-  // Computes cells and shards anew where anything has changed; true if so.
+  // Recomputes cells and shards if anything has changed; returns whether so.
   bool Refresh();
 
   // Queries, as of the last Refresh().
@@ -43,20 +44,22 @@
   serving::Cell own_cell() const { return cells_.CellOf(own_name_); }
   // Whether a gateway of that name and zone exchanges state with this one.
   bool IsPeer(const std::string& name, const std::string& zone) const;
-  // Names of the registered gateways that do, without the own one.
+  // Names of the registered peers.
   std::vector<std::string> Peers() const;
   // Shards that this gateway's cell holds.
   std::vector<uint32_t> OwnShards() const;
   uint32_t ShardOf(std::string_view job) const { return shards_.ShardOf(job); }
   bool HoldsJob(std::string_view job) const;
-  // Names of the gateways that hold the job, the strong ones of the cell first,
-  // then by rendezvous hashing: all who see the same fleet try them in the same
-  // order. A job's records go from its first holder to the whole cell, which
-  // takes a small VM's link a second, and its callers wait as long.
+  // Names of the gateways that hold the job, those of the cell with the most
+  // cores first, then by rendezvous hashing, so that all gateways with the same
+  // view try them in the same order. The first holder sends the records of the
+  // job to the whole cell, which takes a second on the link of a small VM, and
+  // callers wait as long.
   std::vector<std::string> HoldersOf(std::string_view job) const;
-  // Cores of a registered gateway; zero: it is not registered.
+  // Cores of a registered gateway; zero if it is not registered.
   double ProcessorShareOf(const std::string& name) const;
-  // By hash; the gateway of rank zero acts for the fleet first.
+  // Rank of this gateway by the hash of its name; the gateway of rank zero acts
+  // for the fleet first.
   size_t OwnRank() const;
 
  private:
--- a/libs/cluster/include/cluster/member.h
+++ b/libs/cluster/include/cluster/member.h
@@ -6,7 +6,7 @@
 
 namespace knapweedstile::cluster {
 
-// A gateway as it registered itself.
+// Registration of a gateway.
 struct Member {
   std::string address;  // "IP:PORT" for messages between gateways
   std::string availability_zone;
--- a/libs/cluster/include/cluster/shard_map.h
+++ b/libs/cluster/include/cluster/shard_map.h
@@ -11,15 +11,15 @@
 
 class CellMap;
 
-// Which cell holds which batch jobs. A shard goes to a cell by rendezvous
-// hashing, so a cell that comes or goes moves only its own shards.
+// Assigns the shards of batch jobs to cells by rendezvous hashing, so that a
+// cell that is added or removed moves only its own shards.
 class ShardMap {
  public:
   ShardMap() = default;
   ShardMap(uint32_t shards, const CellMap& cells);
 
   uint32_t ShardOf(std::string_view job) const;
-  // The cell of all gateways where there is one shard only.
+  // With a single shard, the cell of all gateways.
   serving::Cell CellOf(uint32_t shard) const;
   std::vector<uint32_t> ShardsOf(const serving::Cell& cell) const;
   uint32_t shards() const noexcept {
--- a/libs/cluster/src/cell_map.cc
+++ b/libs/cluster/src/cell_map.cc
@@ -12,46 +12,49 @@
 
 using serving::Cell;
 
-// A fleet of up to this many entries is one cell: every free slot can be used
-// by all, and what each tells all others costs little.
-constexpr size_t kMostInOneFleet = 16;
-// Reading costs a call for each reader and little to pass on: up to this many
-// entries follow the same readers, whatever their cells.
-constexpr size_t kMostAfterSameReaders = 32;
-// A zone of more entries is divided into cells of about half as many.
-constexpr size_t kMostInCell = 24;
-constexpr size_t kUsualInCell = 12;
-
-uint32_t PartsOf(size_t entries) {
-  if (entries <= kMostInCell) return 1;
-  return static_cast<uint32_t>((entries + kUsualInCell - 1) / kUsualInCell);
+// A fleet of up to this many gateways is one cell: every free slot can be used
+// by all, and reports from all to all cost little.
+constexpr size_t kMaxGatewaysInSingleCell = 16;
+// Store reads cost a call per reader and little to distribute: up to this many
+// gateways follow the same readers, whatever their cells.
+constexpr size_t kMaxGatewaysWithSharedReaders = 32;
+// A zone of more gateways is divided into cells of about half as many.
+constexpr size_t kMaxGatewaysPerCell = 24;
+constexpr size_t kTargetGatewaysPerCell = 12;
+
+uint32_t PartsOf(size_t gateways) {
+  if (gateways <= kMaxGatewaysPerCell) return 1;
+  return static_cast<uint32_t>((gateways + kTargetGatewaysPerCell - 1) /
+                               kTargetGatewaysPerCell);
 }
 
-// Gateways of a cell of a divided fleet, at the least in the mean.
-constexpr size_t kFewestInDividedCell = 10;
+// Minimum average number of gateways in a cell of a divided fleet.
+constexpr size_t kMinGatewaysPerDividedCell = 10;
 
-// A power of two, so that a zone that grows splits cells and moves no gateway
-// between two others.
+// A power of two, so that a growing zone splits cells and moves no gateway
+// between two existing cells.
 uint32_t DividedPartsOf(size_t gateways) {
-  const size_t most = std::max<size_t>(gateways / kFewestInDividedCell, 1);
-  return static_cast<uint32_t>(std::bit_floor(most));
+  const size_t max_parts =
+      std::max<size_t>(gateways / kMinGatewaysPerDividedCell, 1);
+  return static_cast<uint32_t>(std::bit_floor(max_parts));
 }
 
 }  // namespace
 
 CellMap::CellMap(const std::map<std::string, std::string>& zones) {
-  if (zones.size() <= kMostInOneFleet) return;
-  std::map<std::string, std::vector<std::string>> entries_by_zone;
-  for (const auto& [entry, zone] : zones) {
-    entries_by_zone[zone].push_back(entry);
+  if (zones.size() <= kMaxGatewaysInSingleCell) return;
+  std::map<std::string, std::vector<std::string>> gateways_by_zone;
+  for (const auto& [gateway, zone] : zones) {
+    gateways_by_zone[zone].push_back(gateway);
   }
-  for (const auto& [zone, entries] : entries_by_zone) {
-    const uint32_t parts = PartsOf(entries.size());
-    // By turns in the order of their names, so that all parts are alike.
-    for (size_t i = 0; i < entries.size(); ++i) {
-      cells_[entries[i]] = {.availability_zone = zone,
-                            .parts = parts,
-                            .part = static_cast<uint32_t>(i % parts)};
+  for (const auto& [zone, gateways] : gateways_by_zone) {
+    const uint32_t parts = PartsOf(gateways.size());
+    // Round-robin in the order of their names, so that all parts have about the
+    // same size.
+    for (size_t i = 0; i < gateways.size(); ++i) {
+      cells_[gateways[i]] = {.availability_zone = zone,
+                             .parts = parts,
+                             .part = static_cast<uint32_t>(i % parts)};
     }
   }
 }
@@ -79,25 +82,26 @@
           .part = static_cast<uint32_t>(Hash64(gateway) % parts)};
 }
 
-Cell CellMap::CellOf(const std::string& entry) const {
-  const auto known = cells_.find(entry);
+Cell CellMap::CellOf(const std::string& gateway) const {
+  const auto known = cells_.find(gateway);
   return known == cells_.end() ? Cell() : known->second;
 }
 
-Cell CellMap::StoreReaderCellOf(const std::string& entry) const {
-  return cells_.size() <= kMostAfterSameReaders ? Cell() : CellOf(entry);
+Cell CellMap::StoreReaderCellOf(const std::string& gateway) const {
+  return cells_.size() <= kMaxGatewaysWithSharedReaders ? Cell()
+                                                        : CellOf(gateway);
 }
 
 size_t CellMap::CountGateways(const Cell& cell) const {
   return std::count_if(
       cells_.begin(), cells_.end(),
-      [&cell](const auto& entry) { return entry.second == cell; });
+      [&cell](const auto& element) { return element.second == cell; });
 }
 
 std::vector<std::string> CellMap::GatewaysIn(const Cell& cell) const {
   std::vector<std::string> gateways;
-  for (const auto& [gateway, its_cell] : cells_) {
-    if (its_cell == cell) gateways.push_back(gateway);
+  for (const auto& [gateway, gateway_cell] : cells_) {
+    if (gateway_cell == cell) gateways.push_back(gateway);
   }
   return gateways;
 }
--- a/libs/cluster/src/fleet_view.cc
+++ b/libs/cluster/src/fleet_view.cc
@@ -13,7 +13,7 @@
 }
 
 void FleetView::SetMember(const std::string& name, const Member& member) {
-  // What this process says of itself is newer than any record of it.
+  // The own registration is newer than any record of it.
   if (name == own_name_) return;
   const auto [known, is_new] = members_.try_emplace(name, member);
   if (!is_new && known->second == member) return;
--- a/libs/cluster/tests/fleet_view_test.cc
+++ b/libs/cluster/tests/fleet_view_test.cc
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-TEST_CASE("a gateway has as many peers in a fleet of any size") {
+TEST_CASE("the number of peers does not grow with the fleet") {
   for (const int count : {300, 315, 1000, 3191}) {
     CAPTURE(count);
     size_t most = 0;
@@ -50,8 +50,8 @@
   CHECK(view.HoldsJob(JobOf(1)));
 }
 
-// Guards against a job that two gateways look for at different places.
-TEST_CASE("all gateways know the same holders of a job, all in one cell") {
+// Guards against two gateways that look for a job at different holders.
+TEST_CASE("all gateways agree on the holders of a job, all in one cell") {
   const FleetView one = MakeView(315, 0);
   const FleetView other = MakeView(315, 200);
   for (int job = 0; job < 200; ++job) {
@@ -64,8 +64,9 @@
   }
 }
 
-// Guards against jobs that are pushed to a whole cell over a small VM's link.
-TEST_CASE("jobs go to the strong gateways of a cell first") {
+// Guards against jobs that are pushed to a whole cell over the link of a small
+// VM.
+TEST_CASE("gateways with more cores hold jobs first") {
   FleetView view = MakeView(315, 0);
   for (int gateway = 1; gateway < 315; gateway += 6) {
     Member strong = MemberOf(gateway);
@@ -100,8 +101,8 @@
   for (const auto& [shard, cells] : cells_by_shard) CHECK(cells.size() == 1);
 }
 
-// Guards against a fleet that moves its jobs whenever a gateway is added.
-TEST_CASE("a gateway that comes moves no other and no shard") {
+// Guards against a fleet that moves its jobs whenever a gateway joins.
+TEST_CASE("a gateway that joins moves no other gateway and no shard") {
   FleetView view = MakeView(315, 7);
   const auto peers = view.Peers();
   const auto shards = view.OwnShards();
@@ -114,8 +115,7 @@
   CHECK_FALSE(view.Refresh());
 }
 
-TEST_CASE(
-    "a gateway that is not registered yet is known as a peer by its zone") {
+TEST_CASE("a peer is recognized by its zone before it is registered") {
   const FleetView view = MakeView(315, 7);
   for (const std::string& peer : view.Peers()) {
     FleetView without = MakeView(315, 7);
