--- a/libs/gateway/src/callers/caller_identity.cc
+++ b/libs/gateway/src/callers/caller_identity.cc
@@ -16,7 +16,7 @@
 using workspaces::Workspace;
 using workspaces::WorkspaceDirectory;
 
-std::optional<Duration> OwnBudget(const http::HeaderList& headers) {
+std::optional<Duration> ReadOwnDeadline(const http::HeaderList& headers) {
   const std::string_view text = headers.Find("X-Deadline-Ms");
   int64_t millis = 0;
   const auto parsed =
@@ -36,9 +36,11 @@
                                      : std::string();
 }
 
-// Without a key: a workspace that has none is entered by its name.
-void EnterByName(const http::HeaderList& headers,
-                 const WorkspaceDirectory& workspaces, CallerIdentity& caller) {
+// Identifies a caller that sends no key, by the name of a workspace without
+// keys.
+void IdentifyByName(const http::HeaderList& headers,
+                    const WorkspaceDirectory& workspaces,
+                    CallerIdentity& caller) {
   if (workspaces.needs_key()) {
     caller.access = CallerAccess::kNoKey;
     return;
@@ -53,13 +55,14 @@
   }
 }
 
-// Where no workspace has a key, a caller's key is of no concern here.
-void Enter(const http::HeaderList& headers,
-           const WorkspaceDirectory& workspaces, CallerIdentity& caller) {
+// A key that a caller sends is ignored as long as no workspace has one.
+void IdentifyWorkspace(const http::HeaderList& headers,
+                       const WorkspaceDirectory& workspaces,
+                       CallerIdentity& caller) {
   const Credentials credentials = workspaces::ReadCredentials(headers);
   const bool keys_matter = workspaces.needs_key() || workspaces.has_keys();
   if (!credentials.present || !keys_matter) {
-    return EnterByName(headers, workspaces, caller);
+    return IdentifyByName(headers, workspaces, caller);
   }
   if (credentials.malformed()) {
     caller.access = CallerAccess::kMalformedKey;
@@ -75,16 +78,16 @@
 
 CallerIdentity ReadCaller(const http::HeaderList& headers,
                           const WorkspaceDirectory& workspaces,
-                          const std::string& made_id) {
+                          const std::string& generated_id) {
   const auto platform = users_platform::DecodeCaller(headers);
   CallerIdentity caller{.host = platform.host,
                         .request_id = platform.request_id,
                         .budget = platform.budget};
   caller.own_interface = caller.request_id.empty();
   if (caller.own_interface) caller.request_id = headers.Find("X-Request-Id");
-  if (caller.request_id.empty()) caller.request_id = made_id;
-  if (!caller.budget) caller.budget = OwnBudget(headers);
-  Enter(headers, workspaces, caller);
+  if (caller.request_id.empty()) caller.request_id = generated_id;
+  if (!caller.budget) caller.budget = ReadOwnDeadline(headers);
+  IdentifyWorkspace(headers, workspaces, caller);
   return caller;
 }
 
--- a/libs/gateway/src/callers/caller_identity.h
+++ b/libs/gateway/src/callers/caller_identity.h
@@ -16,32 +16,32 @@
 
 namespace knapweedstile::gateway {
 
-// Whether a caller may act for the workspace that it names by a key or by name.
+// Whether a caller may act for the workspace that it gives by key or by name.
 enum class CallerAccess {
   kGranted,
-  kNoKey,         // none, where one is needed
-  kMalformedKey,  // not one well-formed key
-  kUnknownKey,    // no workspace in force has it
+  kNoKey,         // none, but one is required
+  kMalformedKey,  // not a single well-formed key
+  kUnknownKey,    // no active workspace has it
 };
 
-// Who sends a request and what they say of it, by the platform's headers or the
-// product's own (docs/design/protocols.md).
+// The caller of a request and what it states about the request, in the headers
+// of the platform or of the product's own interface (docs/design/protocols.md).
 struct CallerIdentity {
   std::string host;
-  std::string request_id;  // the caller's, or one made here
-  std::string workspace;   // in force; empty: none
+  std::string request_id;  // the caller's, or a generated one
+  std::string workspace;   // active; empty: none
   CallerAccess access = CallerAccess::kGranted;
   std::optional<uint32_t> priority;  // of the workspace
-  std::optional<Duration> budget;    // how long the caller will wait
-  bool own_interface = false;  // named its request by the product's headers
+  std::optional<Duration> budget;    // how long the caller waits
+  bool own_interface = false;        // used the product's headers
 };
 
-// `made_id` serves a request that names none.
+// `generated_id` becomes the ID of a request that has none.
 CallerIdentity ReadCaller(const http::HeaderList& headers,
                           const workspaces::WorkspaceDirectory& workspaces,
-                          const std::string& made_id);
+                          const std::string& generated_id);
 
-// Whether the caller's workspace may ask for the model that `body` names.
+// Whether the caller's workspace may use the model that `body` names.
 bool IsModelAllowed(std::string_view body, const CallerIdentity& caller,
                     const workspaces::WorkspaceDirectory& workspaces);
 
--- a/libs/gateway/src/callers/error_response.cc
+++ b/libs/gateway/src/callers/error_response.cc
@@ -10,10 +10,11 @@
 
 namespace json = boost::json;
 
-std::string_view TypeOf(unsigned status) {
-  constexpr unsigned kServerErrors = 500;
-  constexpr unsigned kTooMany = 429;
-  if (status >= kServerErrors || status == kTooMany) return "overloaded_error";
+std::string_view ErrorType(unsigned status) {
+  constexpr unsigned kFirstServerError = 500;
+  constexpr unsigned kTooManyRequests = 429;
+  if (status >= kFirstServerError || status == kTooManyRequests)
+    return "overloaded_error";
   return "invalid_request_error";
 }
 
@@ -21,7 +22,7 @@
 
 http::RespondCommand ToCommand(ExchangeId exchange,
                                const ErrorResponse& error) {
-  json::object fields = {{"type", TypeOf(error.status)},
+  json::object fields = {{"type", ErrorType(error.status)},
                          {"code", error.code},
                          {"message", error.message},
                          {"request_id", error.request_id}};
--- a/libs/gateway/src/callers/error_response.h
+++ b/libs/gateway/src/callers/error_response.h
@@ -10,23 +10,23 @@
 
 namespace knapweedstile::gateway {
 
-// What a caller may conclude about its request from an error.
+// Whether a request that ended with an error was executed.
 enum class ExecutionStatus {
-  kNotExecuted,    // it provably did not run
-  kUnknown,        // it may have run
-  kNotApplicable,  // the question does not arise
+  kNotExecuted,    // it was certainly not executed
+  kUnknown,        // it may have been executed
+  kNotApplicable,  // the error is not about executing a request
 };
 
 struct ErrorResponse {
   unsigned status = 500;
-  std::string_view code;  // stable, for programs
+  std::string_view code;  // stable, for use by programs
   std::string_view message;
   std::string request_id;
   ExecutionStatus execution = ExecutionStatus::kNotApplicable;
   std::optional<Duration> retry_after;
 };
 
-// The answer that carries the error, in the shape of the OpenAI interface.
+// The response that carries the error, in the format of the OpenAI API.
 http::RespondCommand ToCommand(ExchangeId exchange, const ErrorResponse& error);
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/callers/request_admission.cc
+++ b/libs/gateway/src/callers/request_admission.cc
@@ -25,8 +25,8 @@
 constexpr unsigned kTooManyRequests = 429;
 constexpr unsigned kUnavailable = 503;
 
-// A read of the configuration takes some milliseconds while the store answers.
-constexpr std::chrono::milliseconds kDoubtRetry{500};
+// Reading the configuration takes some milliseconds while the store responds.
+constexpr std::chrono::milliseconds kRetryAfterReload{500};
 
 }  // namespace
 
@@ -34,14 +34,14 @@
     const serving::RouteTable& routes,
     const workspaces::WorkspaceDirectory& workspaces,
     workspaces::RateQuota& rate, observe::Metrics& metrics,
-    std::string id_prefix, Duration trust_for, Callbacks ports)
+    std::string id_prefix, Duration trust_for, Callbacks callbacks)
     : routes_(routes),
       workspaces_(workspaces),
       rate_(rate),
       metrics_(metrics),
       id_prefix_(std::move(id_prefix)),
       trust_for_(trust_for),
-      callbacks_(std::move(ports)) {}
+      callbacks_(std::move(callbacks)) {}
 
 void RequestAdmission::OnRequest(http::RequestEvent&& request) {
   const CallerIdentity identity =
@@ -83,7 +83,7 @@
   }
   const Route* route = routes_.Find(identity.host, request.target);
   const bool batch = route && route->kind == RouteKind::kBatch;
-  // The gateway that passed it on knows the route: this one is behind.
+  // The forwarding gateway has the route: this one has an older configuration.
   if (!batch) return RejectTemporarily(request, identity, "no_route");
   callbacks_.submit_job(std::move(request), *route, identity);
 }
@@ -110,10 +110,10 @@
            {"configuration", routes_.version},
            {"configuration_age_ms", ToMillis(callbacks_.configuration_age())}});
   metrics_.Add("knap_turned_away_total", {std::string(cause)});
-  ErrorResponse answer = error;
-  answer.request_id = identity.request_id;
-  answer.execution = ExecutionStatus::kNotExecuted;
-  callbacks_.to_caller(ToCommand(request.exchange, answer));
+  ErrorResponse response = error;
+  response.request_id = identity.request_id;
+  response.execution = ExecutionStatus::kNotExecuted;
+  callbacks_.to_caller(ToCommand(request.exchange, response));
 }
 
 void RequestAdmission::RejectTemporarily(const http::RequestEvent& request,
@@ -123,26 +123,26 @@
   Reject(request, identity,
          {.status = kUnavailable,
           .code = "configuration_in_doubt",
-          .message = "what is known here may be old; come back",
-          .retry_after = kDoubtRetry},
+          .message = "the configuration of this gateway may be outdated; retry",
+          .retry_after = kRetryAfterReload},
          cause);
 }
 
 void RequestAdmission::RejectUnknownRoute(const http::RequestEvent& request,
                                           const CallerIdentity& identity) {
-  const bool sure = routes_.version != 0 &&
-                    callbacks_.configuration_age() == Duration::zero();
-  if (!sure) return RejectTemporarily(request, identity, "no_route");
+  const bool up_to_date = routes_.version != 0 &&
+                          callbacks_.configuration_age() == Duration::zero();
+  if (!up_to_date) return RejectTemporarily(request, identity, "no_route");
   Reject(request, identity,
          {.status = kNotFound,
           .code = "no_route",
-          .message = "no route leads there"},
+          .message = "no route matches this host and path"},
          "no_route");
 }
 
-// Failure guarded against: a gateway that has no configuration, or an old one,
-// denies a key that holds; the caller takes that for final and does not come
-// again.
+// Guards against rejecting a valid key for good: a gateway with no
+// configuration or an outdated one lacks the key, and a caller does not retry
+// after a 401.
 bool RequestAdmission::Authorize(const http::RequestEvent& request,
                                  const CallerIdentity& identity,
                                  bool is_public) {
@@ -163,7 +163,7 @@
   Reject(request, identity,
          {.status = kUnauthorized,
           .code = "invalid_api_key",
-          .message = "a key of a workspace is needed here"},
+          .message = "a valid API key of a workspace is required"},
          NameOf(identity.access));
   return false;
 }
@@ -174,7 +174,7 @@
   Reject(request, identity,
          {.status = kForbidden,
           .code = "model_not_allowed",
-          .message = "this workspace may not ask for this model"},
+          .message = "this workspace is not allowed to use this model"},
          "model");
   return false;
 }
@@ -183,27 +183,27 @@
                                  const CallerIdentity& identity) {
   const workspaces::Workspace* workspace = workspaces_.Find(identity.workspace);
   if (!workspace || !workspace->rate.limited()) return true;
-  const RateDecision answer =
+  const RateDecision decision =
       rate_.Admit(Hash64(workspace->name), workspace->rate, MonotonicNow());
-  if (answer.verdict == RateVerdict::kAdmitted) return true;
+  if (decision.verdict == RateVerdict::kAdmitted) return true;
   LogInfo("over_rate",
           {{"request", identity.request_id},
            {"workspace", workspace->name},
-           {"verdict", NameOf(answer.verdict)},
-           {"limit", std::llround(answer.limit)},
-           {"known", std::llround(answer.total_admitted)},
-           {"own", answer.own_admitted},
-           {"silent_entries", answer.unreachable_gateways},
-           {"oldest_report_ms", ToMillis(answer.oldest_report_age)},
-           {"retry_after_ms", ToMillis(answer.retry_after)}});
+           {"verdict", NameOf(decision.verdict)},
+           {"limit", std::llround(decision.limit)},
+           {"known", std::llround(decision.total_admitted)},
+           {"own", decision.own_admitted},
+           {"silent_entries", decision.unreachable_gateways},
+           {"oldest_report_ms", ToMillis(decision.oldest_report_age)},
+           {"retry_after_ms", ToMillis(decision.retry_after)}});
   metrics_.Add("knap_workspace_refused_total",
-               {workspace->name, std::string(NameOf(answer.verdict))});
+               {workspace->name, std::string(NameOf(decision.verdict))});
   ErrorResponse error{.status = kTooManyRequests,
                       .code = "rate_limit_exceeded",
-                      .message = "the workspace has sent more than its rate",
+                      .message = "the workspace has exceeded its rate limit",
                       .request_id = identity.request_id,
                       .execution = ExecutionStatus::kNotExecuted,
-                      .retry_after = answer.retry_after};
+                      .retry_after = decision.retry_after};
   callbacks_.to_caller(ToCommand(request.exchange, error));
   return false;
 }
--- a/libs/gateway/src/callers/request_admission.h
+++ b/libs/gateway/src/callers/request_admission.h
@@ -20,13 +20,14 @@
 
 namespace knapweedstile::gateway {
 
-// Finds out once for each request who asks, whether it may, and where it goes;
-// answers those that go nowhere.
+// Authenticates, authorizes and routes each request once, and responds to those
+// that it rejects.
 //
-// A key or route that is not known here may stand in a version that has not
-// come yet: 401 and 404 are said only while what is known here is the present
-// state; else the configuration is read again and the caller is told to come
-// back. Without any configuration it is always told so.
+// A key or route that this gateway does not have may be in a version of the
+// configuration that it has not read yet. It therefore responds with 401 or 404
+// only while its configuration is up to date; otherwise it reads the
+// configuration again and asks the caller to retry. Without any configuration
+// it always asks the caller to retry.
 class RequestAdmission {
  public:
   struct Callbacks {
@@ -40,31 +41,32 @@
     std::function<void(http::RequestEvent&&, const users_platform::BatchCall&,
                        const CallerIdentity&)>
         call_job;
-    // The same calls in the product's own form.
+    // Batch calls of the product's own interface.
     std::function<void(http::RequestEvent&&, const CallerIdentity&)>
         own_batches;
-    // How old what is known of the configuration may be; zero: it is followed.
+    // How outdated the configuration may be; zero: it is up to date.
     std::function<Duration()> configuration_age;
     // Reads the configuration again.
     std::function<void()> reload_configuration;
   };
 
-  // Requests that name none have ids that begin with `id_prefix`. Beyond
-  // `trust_for` without news of the configuration no key is taken for valid;
-  // zero: what was known last holds on.
+  // `id_prefix` begins the generated IDs of requests that have none. No key is
+  // accepted once the configuration may be outdated for longer than
+  // `trust_for`; zero: the last configuration stays valid.
   RequestAdmission(const serving::RouteTable& routes,
                    const workspaces::WorkspaceDirectory& workspaces,
                    workspaces::RateQuota& rate, observe::Metrics& metrics,
-                   std::string id_prefix, Duration trust_for, Callbacks ports);
+                   std::string id_prefix, Duration trust_for,
+                   Callbacks callbacks);
 
   void OnRequest(http::RequestEvent&& request);
-  // A call on a batch job that another gateway has taken from its caller and
-  // let in.
+  // Handles a call on a batch job that a peer has received from its caller,
+  // authorized and forwarded.
   void OnForwarded(http::RequestEvent&& request,
                    const CallerIdentity& identity);
 
  private:
-  // Each is false when the caller has been told that the request goes nowhere.
+  // Each returns false if it has rejected the request and responded.
   bool Authorize(const http::RequestEvent& request,
                  const CallerIdentity& identity, bool is_public);
   bool CheckModel(const http::RequestEvent& request,
@@ -75,11 +77,11 @@
                           const CallerIdentity& identity);
   void Reject(const http::RequestEvent& request, const CallerIdentity& identity,
               const ErrorResponse& error, std::string_view cause);
-  // Tells the caller to come back when the configuration has been read again.
+  // Reads the configuration again and asks the caller to retry after that.
   void RejectTemporarily(const http::RequestEvent& request,
                          const CallerIdentity& identity,
                          std::string_view cause);
-  // Whether the route on which jobs of the host are handed in is public.
+  // Whether the host has a public route for submitting batch jobs.
   bool HasPublicBatchRoute(std::string_view host) const;
 
   const serving::RouteTable& routes_;
--- a/libs/gateway/src/online/online_answers.cc
+++ b/libs/gateway/src/online/online_answers.cc
@@ -6,8 +6,8 @@
 #include "online/online_limits.h"
 #include "users_platform/request_headers.h"
 
-// Answers of backend servers on their way to callers, and what follows when an
-// attempt fails.
+// Forwards the responses of backend servers to callers, and handles attempts
+// that fail.
 namespace knapweedstile::gateway {
 namespace {
 
@@ -15,11 +15,12 @@
 using users_platform::DecodeAnswer;
 using users_platform::ServerAnswer;
 
-// Attempts that certainly did not run, for one request: enough to step past a
-// server that has just died or filled up, few enough that a fleet that is down
-// is not asked a hundred times.
-constexpr uint32_t kMaxNotRun = 4;
-http::HeaderList AnswerHeaders(const OnlineCall& call) {
+// The most attempts of one request that are not executed: enough to get past a
+// server that has just terminated or filled up, few enough not to load a fleet
+// that is down with a hundred attempts.
+constexpr uint32_t kMaxUnexecutedAttempts = 4;
+
+http::HeaderList ResponseHeaders(const OnlineCall& call) {
   http::HeaderList headers = users_platform::ReturnedHeaders(call.head);
   if (call.own_interface) headers.Add("X-Request-Id", call.request_id);
   return headers;
@@ -51,9 +52,9 @@
 void OnlineCalls::OnHead(OnlineCall& call, http::HeadEvent&& event) {
   call.status = event.status;
   call.head = std::move(event.headers);
-  const ServerAnswer answer = DecodeAnswer(call.status, call.head);
-  if (!answer.ok() || answer.not_executed) return;
-  if (answer.request_id != call.request_id || !answer.signed_answer) {
+  const ServerAnswer response = DecodeAnswer(call.status, call.head);
+  if (!response.ok() || response.not_executed) return;
+  if (response.request_id != call.request_id || !response.signed_answer) {
     connections_.Cancel(call.upstream);
     return OnAttemptBroken(call, "foreign_answer");
   }
@@ -67,7 +68,7 @@
   callbacks_.to_caller(
       http::BeginStreamCommand{.exchange = call.caller,
                                .status = call.status,
-                               .headers = AnswerHeaders(call)});
+                               .headers = ResponseHeaders(call)});
   return true;
 }
 
@@ -82,8 +83,8 @@
   OnAttemptBroken(call, "event_out_of_order");
 }
 
-// Passes on the whole events that have arrived. False when one is missing or
-// comes twice: the caller must not take the stream for whole.
+// Forwards the complete events that have arrived. Returns false if one is
+// missing or duplicated: the caller must not take the stream for complete.
 bool OnlineCalls::ForwardEvents(OnlineCall& call) {
   std::string data;
   bool in_order = true;
@@ -129,23 +130,23 @@
 }
 
 void OnlineCalls::OnComplete(OnlineCall& call) {
-  const ServerAnswer answer = DecodeAnswer(call.status, call.head);
-  if (answer.not_executed) {
-    if (answer.wrong_instance) {
+  const ServerAnswer response = DecodeAnswer(call.status, call.head);
+  if (response.not_executed) {
+    if (response.wrong_instance) {
       scheduler_.MarkUnreachable(call.server, MonotonicNow());
     } else {
       scheduler_.MarkFull(call.server, MonotonicNow());
     }
     return RetryNotExecuted(call);
   }
-  if (call.response_started && answer.ok()) {
+  if (call.response_started && response.ok()) {
     if (call.reader.HasPartial()) return OnAttemptBroken(call, "partial_event");
     scheduler_.ObserveDuration(call.server, MonotonicNow() - call.sent_at);
     callbacks_.to_caller(
         http::StreamChunkCommand{.exchange = call.caller, .last = true});
     return Finish(call, call.status, "answered");
   }
-  if (answer.request_id != call.request_id || !answer.signed_answer) {
+  if (response.request_id != call.request_id || !response.signed_answer) {
     return OnAttemptBroken(call, "foreign_answer");
   }
   const bool failed = call.status >= kServerError;
@@ -158,30 +159,30 @@
   }
   callbacks_.to_caller(http::RespondCommand{.exchange = call.caller,
                                             .status = call.status,
-                                            .headers = AnswerHeaders(call),
+                                            .headers = ResponseHeaders(call),
                                             .body = std::move(call.body)});
   Finish(call, call.status, "answered");
 }
 
 bool OnlineCalls::CanRetryElsewhere(const OnlineCall& call) const {
-  const bool repeatable =
+  const bool retryable =
       call.route.IsRetryable() ||
       (call.route.kind == RouteKind::kStream && call.route.resumable);
-  return repeatable && call.runs + 1 < call.route.max_attempts &&
+  return retryable && call.runs + 1 < call.route.max_attempts &&
          MonotonicNow() < call.deadline;
 }
 
-// The attempt may have run and gave no whole answer.
+// Handles an attempt that may have been executed without a complete response.
 void OnlineCalls::OnAttemptBroken(OnlineCall& call, std::string_view reason) {
-  const bool again = CanRetryElsewhere(call);
+  const bool retry = CanRetryElsewhere(call);
   LogWarning("attempt_broken",
              {{"request", call.request_id},
               {"server", call.address},
               {"reason", reason},
               {"age_ms", ToMillis(MonotonicNow() - call.sent_at)},
               {"passing", call.response_started},
-              {"again", again}});
-  // Only an end without an answer may be a crash.
+              {"again", retry}});
+  // Only an attempt that ends without a response may be a crash.
   if (reason == NameOf(http::ClientOutcome::kLost) ||
       reason == kServerRestarted) {
     crashes_.OnAttemptBroken(call.fingerprint, MonotonicNow());
@@ -189,10 +190,10 @@
   call.excluded.push_back(call.server);
   EndAttempt(call);
   ++call.runs;
-  if (again && crashes_.IsQuarantined(call.fingerprint)) {
+  if (retry && crashes_.IsQuarantined(call.fingerprint)) {
     return Fail(call, kBadGateway, "crashes_servers");
   }
-  if (again) return Dispatch(call);
+  if (retry) return Dispatch(call);
   const bool timeout = MonotonicNow() >= call.deadline;
   Fail(call, timeout ? kGatewayTimeout : kBadGateway, reason);
 }
@@ -201,7 +202,7 @@
   call.excluded.push_back(call.server);
   EndAttempt(call);
   ++call.unexecuted_attempts;
-  if (call.unexecuted_attempts < kMaxNotRun) return Dispatch(call);
+  if (call.unexecuted_attempts < kMaxUnexecutedAttempts) return Dispatch(call);
   if (call.runs > 0) return Fail(call, kBadGateway, "not_run_too_often");
   Reject(call, kRetryAfterFailedAttempts, "not_run_too_often");
 }
--- a/libs/gateway/src/online/online_call.h
+++ b/libs/gateway/src/online/online_call.h
@@ -16,39 +16,39 @@
 
 namespace knapweedstile::gateway {
 
-// One online request of a caller, until its last answer byte.
+// The state of one online request, until the last byte of its response.
 struct OnlineCall {
   ExchangeId caller;  // the caller's exchange
   http::RequestEvent request;
   std::string request_id;
-  std::string workspace;       // that asks; empty: none
-  TimePoint admitted_at;       // within its workspace's rate
+  std::string workspace;       // of the caller; empty: none
+  TimePoint admitted_at;       // counted in its workspace's rate
   bool less_urgent = false;    // than other requests of its service
-  bool own_interface = false;  // answers bear the product's own headers
-  uint64_t fingerprint = 0;    // the same when the request comes again
-  serving::Route route;        // as it was when the request came
-  std::string service;         // picked among the route's services
-  TimePoint deadline;          // of the caller or the route, whichever is first
+  bool own_interface = false;  // responses have the product's own headers
+  uint64_t fingerprint = 0;    // the same if the request is sent again
+  serving::Route route;        // as of the arrival of the request
+  std::string service;         // chosen among the route's services
+  TimePoint deadline;  // of the caller or the route, whichever is earlier
 
   // The attempt in progress.
   ExchangeId upstream;
   BackendServerId server;
-  std::string address;  // of the last server that it was sent to
+  std::string address;  // of the server it was last sent to
   TimePoint sent_at;
   serving::ServerUsage usage_at_send;  // of the server, before this request
   bool preempted_batch = false;
-  unsigned status = 0;  // of the attempt's head; zero: none yet
+  unsigned status = 0;  // in the attempt's head; zero: none yet
   http::HeaderList head;
-  std::string body;  // collected unless it is passed on at once
+  std::string body;  // buffered unless it is streamed
 
   // Over all attempts.
-  uint32_t runs = 0;                 // attempts that may have run
-  uint32_t unexecuted_attempts = 0;  // attempts that certainly did not
+  uint32_t runs = 0;                 // attempts that may have been executed
+  uint32_t unexecuted_attempts = 0;  // certainly not executed
   std::vector<BackendServerId> excluded;
-  bool response_started = false;  // the caller has got the head of its answer
+  bool response_started = false;  // its head was sent to the caller
   TimePoint first_byte_at{};
   serving::EventStreamReader reader;
-  std::optional<uint64_t> last_event;  // passed on to the caller
+  std::optional<uint64_t> last_event;  // forwarded to the caller
 };
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/online/online_calls.cc
+++ b/libs/gateway/src/online/online_calls.cc
@@ -15,30 +15,30 @@
 
 using serving::RouteKind;
 
-// A repeatable request that has no answer after this multiple of its latency
-// objective is tried elsewhere: a backend server that went dark shows in no
-// other way.
-constexpr double kRepeatAfterObjectives = 1.5;
-constexpr std::chrono::milliseconds kLeastAttemptTime{150};
-// A request that crashes servers is not served before its quarantine ends.
+// A retryable request without a response after this multiple of its latency
+// objective is sent to another server: an unresponsive server is not detected
+// otherwise.
+constexpr double kAttemptTimeoutObjectives = 1.5;
+constexpr std::chrono::milliseconds kMinAttemptTimeout{150};
+// A request that crashes servers is not served until its quarantine ends.
 constexpr std::chrono::seconds kQuarantineRetry{60};
 
-// Load: more than all slots take, from callers of whom some are less urgent.
-// Those may wait in queues half as long, so that the rest of each queue is left
-// to the urgent ones, who are then turned away last.
+// Answers traffic beyond all slots of which a part is less urgent. Less urgent
+// requests may wait in a queue half as long, so that the rest of each queue is
+// left to the urgent ones, which are then rejected last.
 Duration QueueObjective(const OnlineCall& call) {
-  constexpr int kLessUrgentPart = 2;
+  constexpr int kLessUrgentDivisor = 2;
   const Duration objective = call.route.latency_objective;
-  return call.less_urgent ? objective / kLessUrgentPart : objective;
+  return call.less_urgent ? objective / kLessUrgentDivisor : objective;
 }
 
 const std::string& PickService(const serving::Route& route, Rng& rng) {
   uint64_t total = 0;
   for (const auto& share : route.services) total += share.weight;
-  uint64_t at = total == 0 ? 0 : UniformBelow(rng, total);
+  uint64_t remaining = total == 0 ? 0 : UniformBelow(rng, total);
   for (const auto& share : route.services) {
-    if (at < share.weight) return share.service;
-    at -= share.weight;
+    if (remaining < share.weight) return share.service;
+    remaining -= share.weight;
   }
   return route.services.front().service;
 }
@@ -46,17 +46,17 @@
 }  // namespace
 
 OnlineCalls::OnlineCalls(ServerConnections& connections,
-                         serving::SlotScheduler& board,
-                         serving::CrashTracker& crashes,
+                         serving::SlotScheduler& scheduler,
+                         serving::CrashTracker& crash_tracker,
                          observe::Metrics& metrics, observe::Timeline& timeline,
-                         uint64_t seed, Callbacks ports)
-    : scheduler_(board),
-      crashes_(crashes),
+                         uint64_t seed, Callbacks callbacks)
+    : scheduler_(scheduler),
+      crashes_(crash_tracker),
       metrics_(metrics),
       timeline_(timeline),
       rng_(seed),
       retry_delay_(seed + 1),
-      callbacks_(std::move(ports)),
+      callbacks_(std::move(callbacks)),
       connections_(connections),
       sink_([this](http::ClientEvent&& event) {
         OnUpstream(std::move(event));
@@ -100,10 +100,11 @@
   }
   const auto placement = scheduler_.PlaceOnline(
       call.service, QueueObjective(call), call.excluded, now);
-  // A stream that goes on elsewhere has been begun: it is never refused for a
-  // queue.
-  const bool must_go_on = call.response_started && placement.server;
-  if (placement.outcome != serving::PlacementOutcome::kPlaced && !must_go_on) {
+  // A stream that is resumed on another server has already started: it is never
+  // rejected because of a queue.
+  const bool resumes_stream = call.response_started && placement.server;
+  if (placement.outcome != serving::PlacementOutcome::kPlaced &&
+      !resumes_stream) {
     if (call.runs > 0) return Fail(call, kBadGateway, "no_server_to_repeat");
     const bool saturated =
         placement.outcome == serving::PlacementOutcome::kSaturated;
@@ -147,10 +148,11 @@
   request.body = call.request.body;
   request.deadline = call.deadline;
   if (call.route.IsRetryable() && call.runs + 1 < call.route.max_attempts) {
-    const Duration patience = std::max<Duration>(
-        kLeastAttemptTime, FromSeconds(ToSeconds(call.route.latency_objective) *
-                                       kRepeatAfterObjectives));
-    request.deadline = std::min(request.deadline, now + patience);
+    const Duration attempt_timeout =
+        std::max<Duration>(kMinAttemptTimeout,
+                           FromSeconds(ToSeconds(call.route.latency_objective) *
+                                       kAttemptTimeoutObjectives));
+    request.deadline = std::min(request.deadline, now + attempt_timeout);
   }
   request.stream_body = call.route.kind == RouteKind::kStream;
   scheduler_.OnRequestStarted(server, TrafficClass::kOnline);
@@ -166,7 +168,7 @@
   callbacks_.usage_changed();
 }
 
-// Only for requests no attempt of which may have run.
+// Only for requests without an attempt that may have been executed.
 void OnlineCalls::Reject(OnlineCall& call, Duration retry_after,
                          std::string_view cause) {
   if (!call.workspace.empty())
@@ -174,7 +176,7 @@
   callbacks_.to_caller(
       ToCommand(call.caller, {.status = kUnavailable,
                               .code = cause,
-                              .message = "it was not run",
+                              .message = "the request was not executed",
                               .request_id = call.request_id,
                               .execution = ExecutionStatus::kNotExecuted,
                               .retry_after = retry_after}));
@@ -189,7 +191,7 @@
     callbacks_.to_caller(
         ToCommand(call.caller, {.status = status,
                                 .code = cause,
-                                .message = "it may have run",
+                                .message = "the request may have been executed",
                                 .request_id = call.request_id,
                                 .execution = ExecutionStatus::kUnknown}));
   }
@@ -204,9 +206,9 @@
   metrics_.Add("knap_requests_total", {call.route.name, std::string(outcome)});
   metrics_.Observe("knap_request_seconds", ToSeconds(age), {call.route.name});
   const auto slots = scheduler_.CountSlots(call.service, MonotonicNow());
-  const bool begun = call.first_byte_at != TimePoint{};
+  const bool has_first_byte = call.first_byte_at != TimePoint{};
   const Duration first_byte =
-      begun ? call.first_byte_at - call.request.received_at : age;
+      has_first_byte ? call.first_byte_at - call.request.received_at : age;
   Log(answered ? LogLevel::kInfo : LogLevel::kWarning, "request_done",
       {{"request", call.request_id},
        {"route", call.route.name},
@@ -236,12 +238,12 @@
   calls_.erase(call.caller);
 }
 
-void OnlineCalls::OnServerRestarted(BackendServerId former) {
-  std::vector<ExchangeId> cut;
+void OnlineCalls::OnServerRestarted(BackendServerId previous) {
+  std::vector<ExchangeId> lost;
   for (const auto& [caller, call] : calls_) {
-    if (call.server == former) cut.push_back(caller);
+    if (call.server == previous) lost.push_back(caller);
   }
-  for (const ExchangeId caller : cut) {
+  for (const ExchangeId caller : lost) {
     OnlineCall& call = calls_.at(caller);
     connections_.Cancel(call.upstream);
     OnAttemptBroken(call, kServerRestarted);
--- a/libs/gateway/src/online/online_calls.h
+++ b/libs/gateway/src/online/online_calls.h
@@ -25,43 +25,45 @@
 
 namespace knapweedstile::gateway {
 
-// Carries online requests to backend servers and their answers back.
+// Sends online requests to backend servers and returns the responses to
+// callers.
 //
-// At most one run: a request that may not be repeated is sent again only when
-// it provably did not run, that is when no connection came about or the
-// backend server said so. After anything else its caller is told 502 or 504,
-// which promise nothing.
+// Executes a request that is not retryable at most once: it is sent again only
+// if it was certainly not executed, that is if no connection was established or
+// the backend server reported it. After any other failure the caller gets 502
+// or 504, which say nothing about whether the request was executed.
 class OnlineCalls {
  public:
   struct Callbacks {
     std::function<void(http::ServerCommand&&)> to_caller;
-    // Frees the slot of one batch item on a backend server, of this entry when
-    // `entry` is empty.
-    std::function<void(BackendServerId server, const std::string& entry)>
+    // Preempts one batch item on a backend server: an item of `peer`, or of
+    // this gateway if `peer` is empty.
+    std::function<void(BackendServerId server, const std::string& peer)>
         preempt;
-    // A request that was admitted at that time has not run and never will.
+    // A request that was admitted at that time was not executed and will not
+    // be.
     std::function<void(const std::string& workspace, TimePoint admitted_at)>
         not_executed;
-    // Counts on the slot board have changed.
+    // The usage counts of the slot scheduler have changed.
     std::function<void()> usage_changed;
-    // Servers that the operators' policies keep the route's requests from.
+    // Servers that the operators' policies exclude for requests of the route.
     std::function<std::vector<BackendServerId>(const serving::Route& route,
                                                const std::string& service,
                                                const std::string& workspace)>
         excluded_servers;
   };
 
-  OnlineCalls(ServerConnections& connections, serving::SlotScheduler& board,
-              serving::CrashTracker& crashes, observe::Metrics& metrics,
-              observe::Timeline& timeline, uint64_t seed, Callbacks ports);
+  OnlineCalls(ServerConnections& connections, serving::SlotScheduler& scheduler,
+              serving::CrashTracker& crash_tracker, observe::Metrics& metrics,
+              observe::Timeline& timeline, uint64_t seed, Callbacks callbacks);
 
   // `less_urgent`: than other requests of its service.
   void Begin(http::RequestEvent&& request, const serving::Route& route,
              const CallerIdentity& caller, bool less_urgent);
   void OnCallerDisconnected(ExchangeId caller);
-  // The server's process is gone with all that it had taken, which may have
-  // run.
-  void OnServerRestarted(BackendServerId former);
+  // The process of the server was replaced. Requests on it are lost and may
+  // have been executed.
+  void OnServerRestarted(BackendServerId previous);
   size_t open() const noexcept { return calls_.size(); }
 
  private:
@@ -74,9 +76,9 @@
 
   void Dispatch(OnlineCall& call);
   void SendTo(OnlineCall& call, BackendServerId server);
-  // Ends the attempt on the board; the call has no server afterwards.
+  // Ends the attempt in the scheduler; the call has no server afterwards.
   void EndAttempt(OnlineCall& call);
-  // After an attempt that certainly did not run.
+  // After an attempt that was certainly not executed.
   void RetryNotExecuted(OnlineCall& call);
   bool CanRetryElsewhere(const OnlineCall& call) const;
   bool StartResponse(OnlineCall& call);
@@ -98,7 +100,8 @@
   std::unordered_map<ExchangeId, OnlineCall> calls_;  // by caller
   std::unordered_map<ExchangeId, ExchangeId> upstreams_;
   ServerConnections& connections_;
-  ServerConnections::EventSink sink_;  // of events of this object's requests
+  ServerConnections::EventSink
+      sink_;  // receives the events of this object's requests
 };
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/online/online_limits.h
+++ b/libs/gateway/src/online/online_limits.h
@@ -11,10 +11,11 @@
 inline constexpr unsigned kUnavailable = 503;
 inline constexpr unsigned kGatewayTimeout = 504;
 
-// Why an attempt is over when its server's process has been replaced.
+// The reason of an attempt that ended because its server's process was
+// replaced.
 inline constexpr std::string_view kServerRestarted = "server_restarted";
 
-// After a few servers that did not run a request: others may have room at once.
+// For a request that a few servers did not execute: others may have free slots.
 inline constexpr std::chrono::milliseconds kRetryAfterFailedAttempts{100};
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/servers/server_connections.h
+++ b/libs/gateway/src/servers/server_connections.h
@@ -11,21 +11,21 @@
 
 namespace knapweedstile::gateway {
 
-// The connections to backend servers, of online requests and batch items alike:
-// what one has left open the other goes on with, so that fewer are opened.
+// The connections to backend servers. Online requests and batch items share
+// them, so that fewer are opened.
 class ServerConnections {
  public:
   using EventSink = std::function<void(http::ClientEvent&&)>;
 
   explicit ServerConnections(boost::asio::io_context& io);
 
-  // A number for a request that is sent next. Its events go to `sink`, which
-  // stays as long as this object.
+  // Returns the ID of the request that is sent next. Its events go to `sink`,
+  // which must outlive this object.
   ExchangeId Open(const EventSink& sink);
   void Send(http::ClientRequest&& request);
-  // Cuts the request's connection; no event follows.
+  // Closes the request's connection; no event follows.
   void Cancel(ExchangeId exchange);
-  // The process at the address has been replaced.
+  // Closes idle connections to an address whose process has been replaced.
   void CloseIdle(const std::string& address);
 
  private:
--- a/libs/gateway/src/servers/server_directory.cc
+++ b/libs/gateway/src/servers/server_directory.cc
@@ -10,8 +10,8 @@
 namespace knapweedstile::gateway {
 namespace {
 
-// Live servers are back within two seconds of the store's return.
-constexpr std::chrono::milliseconds kReturnTime{2100};
+// Live servers register again within two seconds after the store has recovered.
+constexpr std::chrono::milliseconds kReregistrationTime{2100};
 
 bool SameRecord(const serving::ServerRecord& a,
                 const serving::ServerRecord& b) {
@@ -41,7 +41,7 @@
   if (!valid) return RemoveInvalid(object.name);
   const auto known = records_.find(object.name);
   if (known != records_.end() && SameRecord(known->second, record)) return;
-  const BackendServerId former = scheduler_.Find(object.name);
+  const BackendServerId previous = scheduler_.Find(object.name);
   const std::string address =
       known == records_.end() ? std::string() : known->second.address;
   LogInfo("server_changed", {{"instance", record.instance},
@@ -52,14 +52,13 @@
                              {"revision", object.version}});
   scheduler_.Upsert(record);
   records_[object.name] = std::move(record);
-  if (former && former != scheduler_.Find(object.name)) {
-    on_restart_(former, address);
+  if (previous && previous != scheduler_.Find(object.name)) {
+    on_restart_(previous, address);
   }
 }
 
-// Failure guarded against: another writer has put something over a server's
-// entry. Going on by the entry before would send requests to a server that may
-// long have left.
+// Guards against a registration that another writer has overwritten. Keeping
+// the previous one would send requests to a server that may no longer be there.
 void ServerDirectory::RemoveInvalid(const std::string& instance) {
   missing_.erase(instance);
   if (records_.erase(instance) > 0) scheduler_.Remove(instance);
@@ -68,7 +67,7 @@
 void ServerDirectory::MarkMissing(const std::string& instance, TimePoint now,
                                   TimePoint store_regained) {
   if (!records_.contains(instance) || missing_.contains(instance)) return;
-  missing_[instance] = std::max(now, store_regained + kReturnTime);
+  missing_[instance] = std::max(now, store_regained + kReregistrationTime);
   Expire(now);
 }
 
@@ -79,11 +78,11 @@
     present.insert(object.name);
     ApplyRecord(object);
   }
-  std::vector<std::string> gone;
+  std::vector<std::string> absent;
   for (const auto& [instance, record] : records_) {
-    if (!present.contains(instance)) gone.push_back(instance);
+    if (!present.contains(instance)) absent.push_back(instance);
   }
-  for (const std::string& instance : gone)
+  for (const std::string& instance : absent)
     MarkMissing(instance, now, store_regained);
 }
 
@@ -94,11 +93,11 @@
 }
 
 bool ServerDirectory::Expire(TimePoint now) {
-  const size_t removed = std::erase_if(missing_, [&](const auto& entry) {
-    if (entry.second > now) return false;
-    LogInfo("server_gone", {{"instance", entry.first}});
-    scheduler_.Remove(entry.first);
-    records_.erase(entry.first);
+  const size_t removed = std::erase_if(missing_, [&](const auto& element) {
+    if (element.second > now) return false;
+    LogInfo("server_gone", {{"instance", element.first}});
+    scheduler_.Remove(element.first);
+    records_.erase(element.first);
     return true;
   });
   return removed > 0;
--- a/libs/gateway/src/servers/server_directory.h
+++ b/libs/gateway/src/servers/server_directory.h
@@ -15,28 +15,28 @@
 
 namespace knapweedstile::gateway {
 
-// Brings the backend servers' own entries onto the slot board.
+// Applies the registrations of backend servers to the slot scheduler.
 //
-// Failure guarded against: entries lapse while the store is away, though their
-// servers live; dropping them at its return would leave the fleet without
-// servers until they are written again. An entry that is missing just after an
-// outage is therefore kept until the time in which a live server is back.
+// Guards against losing all servers after an outage of the store: registrations
+// expire during the outage although their servers are alive. A registration
+// that is missing just after an outage is therefore kept for the time within
+// which a live server registers again.
 class ServerDirectory {
  public:
-  // Told the id that a server had before its process started again, and where
-  // that was: what that process held is lost.
+  // Called when the process of a server has been replaced, with the ID and the
+  // address of the previous one. Requests on that process are lost.
   using RestartCallback =
-      std::function<void(BackendServerId former, const std::string& address)>;
+      std::function<void(BackendServerId previous, const std::string& address)>;
 
-  ServerDirectory(serving::SlotScheduler& board, RestartCallback restarted)
-      : scheduler_(board), on_restart_(std::move(restarted)) {}
+  ServerDirectory(serving::SlotScheduler& scheduler, RestartCallback on_restart)
+      : scheduler_(scheduler), on_restart_(std::move(on_restart)) {}
 
   void OnListed(std::vector<platform::StoredObject>&& objects, TimePoint now,
                 TimePoint store_regained);
   void OnChanged(platform::StoredObject&& object, TimePoint now,
                  TimePoint store_regained);
-  // Removes what is still missing once its time has come.
-  // Whether any was removed.
+  // Removes servers whose registration is missing for too long. Returns whether
+  // any was removed.
   bool Expire(TimePoint now);
 
   size_t size() const noexcept { return records_.size(); }
@@ -50,7 +50,7 @@
   serving::SlotScheduler& scheduler_;
   RestartCallback on_restart_;
   std::map<std::string, serving::ServerRecord> records_;
-  std::map<std::string, TimePoint> missing_;  // removed from then on
+  std::map<std::string, TimePoint> missing_;  // time of removal
 };
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/servers/upstream_settings.h
+++ b/libs/gateway/src/servers/upstream_settings.h
@@ -5,15 +5,16 @@
 
 namespace knapweedstile::gateway {
 
-// Connections to backend servers.
+// The settings of connections to backend servers.
 inline http::ClientSettings UpstreamClientSettings() {
   http::ClientSettings settings;
-  // A round trip between availability zones is 3 ms; a server that has not
-  // taken a connection in a hundred times that is down or cut off.
+  // A round trip between availability zones takes 3 ms; a server that does not
+  // accept a connection within 100 times that is down or unreachable.
   settings.connect_timeout = std::chrono::milliseconds(300);
-  // Longer than the valleys of the usual traffic (3.6 s), after which each peak
-  // would open its connections anew: a quarter fewer than with 2 s, and no more
-  // requests lost. Backend servers that announce a time get half of it.
+  // Longer than the lows of the usual traffic (3.6 s), so that the next peak
+  // reuses connections: a quarter fewer are opened than with 2 s, and no more
+  // requests are lost. For servers that announce a timeout, half of that is
+  // used.
   settings.idle_timeout = std::chrono::milliseconds(8000);
   settings.silence_timeout = std::chrono::milliseconds(3000);
   settings.max_idle_per_address = 8;
--- a/libs/workspaces/include/workspaces/admission_window.h
+++ b/libs/workspaces/include/workspaces/admission_window.h
@@ -8,18 +8,19 @@
 
 namespace knapweedstile::workspaces {
 
-// How many requests were admitted in spans that end now, up to a longest one of
-// which a slot is a fiftieth. A span counts the slot that has begun and all
-// that it touches, so it is never shorter than what was asked for.
+// Counts the requests admitted in a span of time that ends now, up to a longest
+// span, in buckets of a fiftieth of that. A count includes the current bucket
+// and each one that the span touches, so it never covers less than the span.
 class AdmissionWindow {
  public:
   explicit AdmissionWindow(Duration longest)
       : bucket_length_(longest / kBucketsPerLongestSpan) {}
 
   void Add(TimePoint now);
-  // Takes back one that was admitted at `admitted_at`.
+  // Removes one request that was admitted at `admitted_at`.
   void Remove(TimePoint admitted_at, TimePoint now);
 
+  // `span` is at most the longest span.
   uint32_t CountIn(Duration span, TimePoint now) const;
 
  private:
@@ -29,11 +30,11 @@
   int64_t BucketOf(TimePoint at) const noexcept {
     return at.time_since_epoch() / bucket_length_;
   }
-  void Advance(int64_t slot);
+  void Advance(int64_t bucket);
 
   Duration bucket_length_;
-  std::array<uint16_t, kBuckets> counts_{};  // by slot number modulo kSlots
-  int64_t newest_bucket_ = 0;                // slot number
+  std::array<uint16_t, kBuckets> counts_{};  // by bucket number modulo kBuckets
+  int64_t newest_bucket_ = 0;                // bucket number
 };
 
 }  // namespace knapweedstile::workspaces
--- a/libs/workspaces/include/workspaces/credentials.h
+++ b/libs/workspaces/include/workspaces/credentials.h
@@ -8,7 +8,7 @@
 
 namespace knapweedstile::workspaces {
 
-// What a request brings to show who sends it.
+// The credentials that a request carries.
 struct Credentials {
   bool present = false;          // any `Authorization` field
   std::optional<KeyDigest> key;  // of one well-formed `Bearer` key
@@ -16,9 +16,9 @@
   bool malformed() const noexcept { return present && !key; }
 };
 
-// A key is one to 4,096 visible ASCII characters in one field; anything else,
-// also a second field, is malformed: which of two keys holds would be a guess
-// that another program on the way may make otherwise.
+// Reads the `Authorization` field. A key is 1 to 4,096 visible ASCII characters
+// in a single field; anything else is malformed. That includes a second field:
+// another program on the path of the request might pick the other key.
 Credentials ReadCredentials(const http::HeaderList& headers);
 
 }  // namespace knapweedstile::workspaces
--- a/libs/workspaces/include/workspaces/key_digest.h
+++ b/libs/workspaces/include/workspaces/key_digest.h
@@ -10,12 +10,11 @@
 
 namespace knapweedstile::workspaces {
 
-// The SHA-256 of an API key, which is all that is ever kept of one.
+// The SHA-256 of an API key. The key itself is never stored.
 //
-// Failure guarded against: a comparison of keys that ends at the first byte
-// that differs tells a caller by its time how much of a guess was right. The
-// digest of a guess says nothing of how near it is, so that an ordinary look-up
-// by digest tells nothing.
+// Guards against timing attacks: comparing keys up to the first byte that
+// differs reveals how much of a guess was right. The digest of a guess reveals
+// nothing about the key, so an ordinary look-up by digest is safe.
 struct KeyDigest {
   static constexpr size_t kBytes = 32;
   std::array<uint8_t, kBytes> bytes{};
@@ -26,7 +25,7 @@
 };
 
 KeyDigest DigestOf(std::string_view key);
-// From 64 lower-case hexadecimal digits; nothing when it is not that.
+// Parses 64 lower-case hexadecimal digits; no value if `hex` is anything else.
 std::optional<KeyDigest> ParseKeyDigest(std::string_view hex);
 
 }  // namespace knapweedstile::workspaces
--- a/libs/workspaces/include/workspaces/rate_decision.h
+++ b/libs/workspaces/include/workspaces/rate_decision.h
@@ -12,21 +12,20 @@
 
 enum class RateVerdict {
   kAdmitted,
-  kOverRate,  // by what is known of all entries
-  kStarting,  // what was admitted before this fleet's start is not known
-  kSplit,     // beyond the part of the entries that hear each other
+  kOverRate,  // by the counts of all gateways
+  kStarting,  // counts from before the start of this fleet are missing
+  kSplit,     // beyond the share of the gateways that reach each other
 };
 
-// The answer to one request, with what it was decided by.
+// The decision on one request and the figures that it is based on.
 struct RateDecision {
   RateVerdict verdict = RateVerdict::kAdmitted;
-  Duration retry_after{};     // kAdmitted: zero
-  double limit = 0;           // requests in the window
-  double total_admitted = 0;  // admitted in it by all entries, as known here
-  uint32_t own_admitted = 0;  // by this one
-  uint32_t unreachable_gateways =
-      0;                         // entries that are not heard, or do not hear
-  Duration oldest_report_age{};  // age of the oldest report counted as heard
+  Duration retry_after{};             // kAdmitted: zero
+  double limit = 0;                   // requests in the window
+  double total_admitted = 0;          // in the window, by all gateways
+  uint32_t own_admitted = 0;          // in the window, by this gateway
+  uint32_t unreachable_gateways = 0;  // no reports in at least one direction
+  Duration oldest_report_age{};       // of the reachable peers
 };
 
 }  // namespace knapweedstile::workspaces
--- a/libs/workspaces/include/workspaces/rate_limit.h
+++ b/libs/workspaces/include/workspaces/rate_limit.h
@@ -3,13 +3,13 @@
 
 namespace knapweedstile::workspaces {
 
-// How many requests of a workspace are admitted over all entries.
+// How many requests of a workspace all gateways together admit.
 struct RateLimit {
   double per_second = 0;  // zero: no limit
-  double burst = 0;       // requests beyond the rate at once
+  double burst = 0;       // requests beyond the rate, at once
 
   bool limited() const noexcept { return per_second > 0; }
-  // Most requests in any span of so many seconds.
+  // The most requests in any span of this length.
   double MaxRequestsIn(double seconds) const noexcept {
     return per_second * seconds + burst;
   }
--- a/libs/workspaces/include/workspaces/rate_quota.h
+++ b/libs/workspaces/include/workspaces/rate_quota.h
@@ -20,51 +20,57 @@
 
 namespace knapweedstile::workspaces {
 
-// Whether a request fits its workspace's rate, which binds all entries
-// together. No network, clock or thread: reports and the time come in.
+// Decides whether a request fits the rate limit of its workspace, which applies
+// to the sum over all gateways. Pure logic: no I/O, no clock, no threads; the
+// caller passes the reports of peers and the time.
 //
-// Load pattern: a workspace that sends many times its usual, at one entry or at
-// all, while entries are cut off from each other, stand still, die together or
-// have just started. Each entry tells the others what it has admitted in the
-// last seconds and admits what fits by all that it knows; a caller that reaches
-// one entry only has the whole rate there at once.
+// Designed for a workspace that sends a multiple of its usual traffic, to one
+// gateway or to all, while gateways are partitioned from each other, paused,
+// killed together or just started. Each gateway reports to its peers what it
+// has admitted in the last seconds, and admits what fits by its own count and
+// those it has received. A workspace whose callers reach a single gateway can
+// use the whole rate there at once.
 //
-// What an entry does not know would be admitted twice. It is bounded, so that
-// the sum stays within the limit and the overage that the settings allow:
+// Requests that a gateway has no report of would be admitted twice. Their
+// number is bounded, so that the total stays within the limit plus the overage
+// that the settings allow:
 //
-// - A cut is known to both sides within half a second: an entry tells whom it
-//   does not hear. What is admitted meanwhile is bounded by what a workspace
-//   may send in a second.
-// - While entries do not hear each other, those that do have the part of the
-//   limit that they had before: half by demand, half by their number. The parts
-//   of all groups add up to the limit.
-// - An entry that starts knows nothing of the last seconds. It learns from the
-//   others what its former process had admitted. When all of them have
-//   just started, nobody knows, and the limit grows from almost nothing.
+// - Both sides detect a partition within half a second, because a report lists
+//   the peers that its sender gets no reports from. What is admitted until then
+//   is bounded by what a workspace may send in one second.
+// - During a partition, a group of gateways that reach each other has the share
+//   of the limit that it had before: half of it by demand, half by the number
+//   of gateways. The shares of all groups add up to the limit.
+// - A gateway that starts has no counts of the last seconds. Peers report to it
+//   what its previous process had admitted. If all gateways have just started,
+//   no counts exist, and the limit grows from almost nothing.
 class RateQuota {
  public:
-  RateQuota(const RateQuotaSettings& settings, GatewayHash own_entry,
+  RateQuota(const RateQuotaSettings& settings, GatewayHash own_gateway,
             uint64_t seed, TimePoint started_at);
 
   // Commands.
-  // Judges a request and counts it when it is admitted.
+  // Decides on a request and counts it if it is admitted.
   RateDecision Admit(WorkspaceHash workspace, const RateLimit& limit,
                      TimePoint now);
-  // A request that was admitted at `admitted_at` has not run and never will.
+  // Returns to the quota a request that was admitted at `admitted_at`, was not
+  // executed and will not be.
   void Refund(WorkspaceHash workspace, TimePoint admitted_at, TimePoint now);
-  // All other entries of the fleet, heard or not.
+  // Sets all other gateways of the fleet, reachable or not.
   void SetMembers(const std::vector<GatewayHash>& others, TimePoint now);
-  // `start` tells processes of an entry apart. `partial`: holds only what has
-  // changed.
-  void OnReport(GatewayHash entry, uint64_t start, const RateReport& report,
-                bool partial, TimePoint now);
-  // The entry has stopped as planned; nothing is kept for it.
-  void RemovePeer(GatewayHash entry);
-  // This process stood still: what others told is old, and is told anew soon.
+  // Takes in a report of `gateway`. `start` identifies the process of the
+  // gateway. A report that is `incremental` holds only what has changed.
+  void OnReport(GatewayHash gateway, uint64_t start, const RateReport& report,
+                bool incremental, TimePoint now);
+  // Removes a gateway that has stopped as planned. No share of the limit is
+  // kept for it.
+  void RemovePeer(GatewayHash gateway);
+  // This process was paused: the peers' reports are stale until the next full
+  // report of each.
   void OnPaused();
-  // Notices silence and forgets what is too old to count.
+  // Marks peers without recent reports as unreachable and drops expired counts.
   void Expire(TimePoint now);
-  // What has changed since anything was told.
+  // Returns the counts that have changed since the last call.
   RateReport TakeDeltaReport(TimePoint now);
 
   // Queries.
@@ -81,45 +87,47 @@
     AdmissionWindow window;
     AdmissionWindow rejected;
     TimePoint used_at{};
-    TimePoint last_retry_at{};  // that a refused request was told
-    bool changed = false;       // since it was told
+    TimePoint last_retry_at{};  // latest retry time given to a rejected request
+    bool changed = false;       // since the last report
   };
   struct Peer {
     uint64_t start = 0;
-    bool full_report_received = false;  // a whole report of this process
+    bool full_report_received = false;  // from this process
     bool receives_our_reports = false;
     bool unreachable = true;
     TimePoint unreachable_since{};
     TimePoint last_report_at{};
-    Duration uptime{};  // at `heard_at`
+    Duration uptime{};  // at `last_report_at`
     std::unordered_map<WorkspaceHash, AdmittedCount> counts;
-    // Its part of the demand when it fell silent.
+    // Its share of each workspace's demand when it became unreachable.
     std::unordered_map<WorkspaceHash, double> demand_share;
   };
+  // What a process of a peer that has ended had admitted.
   struct PreviousCount {
     uint32_t count = 0;
     TimePoint counted_at{};
-    bool received_directly = false;  // seen here, not told by another entry
+    bool received_directly = false;  // from the process, not from another peer
   };
   struct AdmittedTotals {
     double all = 0;
-    double reachable = 0;  // own and of entries that hear this one
-    // Of those, in each span of the window.
+    double reachable = 0;  // own and of peers that exchange reports with us
+    // The same, in each span of the window.
     std::array<double, kRateSpans> reachable_in_spans{};
     uint32_t own = 0;
   };
 
   AdmittedTotals TotalsOf(WorkspaceHash workspace, TimePoint now) const;
-  // The most that may be admitted while the last seconds are not known.
+  // The most requests that may be admitted while counts of the last seconds are
+  // missing after a start.
   double MaxSinceStart(const RateLimit& limit, TimePoint now) const;
-  // The part of the limit of the entries that hear each other.
+  // The share of the limit of the gateways that reach each other.
   double ReachableShare(WorkspaceHash workspace) const;
   RateVerdict Decide(WorkspaceHash workspace, const RateLimit& limit,
-                     const AdmittedTotals& known, TimePoint now) const;
+                     const AdmittedTotals& totals, TimePoint now) const;
   Duration RetryAfter(OwnCounts& own, const RateLimit& limit,
-                      const AdmittedTotals& known, RateVerdict verdict,
+                      const AdmittedTotals& totals, RateVerdict verdict,
                       TimePoint now);
-  void KeepPreviousCounts(GatewayHash entry, const Peer& peer);
+  void KeepPreviousCounts(GatewayHash gateway, const Peer& peer);
   double OwnGrowth(WorkspaceHash workspace, TimePoint since,
                    TimePoint now) const;
   void MarkUnreachable(Peer& peer, TimePoint now);
@@ -130,13 +138,14 @@
   Duration SpanOf(size_t span) const noexcept {
     return settings_.window * static_cast<int64_t>(span + 1) / kRateSpans;
   }
-  // Whether one more fits each span of the window.
-  bool FitsAllSpans(const RateLimit& limit, const AdmittedTotals& known) const;
-  // Most requests of a workspace in the window.
+  // Whether one more request fits each span of the window.
+  bool FitsAllSpans(const RateLimit& limit, const AdmittedTotals& totals) const;
+  // The most requests of a workspace in the window, without overage.
   double WindowLimit(const RateLimit& limit) const noexcept;
-  // A part of the requests that may be admitted beyond the limit.
-  double Overage(double part, double limit) const noexcept;
-  // What of a count that was told at `reported_at` may still lie in the window.
+  // A share of the requests that may be admitted beyond the limit.
+  double Overage(double share, double limit) const noexcept;
+  // How much of a count that was reported at `reported_at` may still be in the
+  // window.
   uint32_t CountStillInWindow(uint32_t count, TimePoint reported_at,
                               TimePoint now) const;
 
@@ -145,12 +154,12 @@
   TimePoint started_at_;
   Rng rng_;
   bool members_known_ = false;
-  uint32_t advertised_fleet_size_ = 0;  // that others say there are
-  uint32_t unreachable_count_ = 0;      // peers that are silent
+  uint32_t advertised_fleet_size_ = 0;  // the largest that peers reported
+  uint32_t unreachable_count_ = 0;      // peers
   std::unordered_map<WorkspaceHash, OwnCounts> own_;
   std::vector<WorkspaceHash> changed_;
   std::map<GatewayHash, Peer> peers_;
-  // Stopped as planned or silent for long, and not heard since.
+  // Stopped as planned or unreachable for long, without a report since.
   std::set<GatewayHash> removed_peers_;
   std::map<std::pair<WorkspaceHash, GatewayHash>, PreviousCount>
       previous_counts_;
--- a/libs/workspaces/include/workspaces/rate_quota_settings.h
+++ b/libs/workspaces/include/workspaces/rate_quota_settings.h
@@ -5,12 +5,12 @@
 
 namespace knapweedstile::workspaces {
 
-// How closely the rates of workspaces are kept to.
+// How precisely the rate limits of workspaces are enforced.
 struct RateQuotaSettings {
-  // The limit holds in each span of this length.
+  // The limit applies to each span of this length.
   std::chrono::milliseconds window{5000};
-  // What all entries together may admit beyond it: a share of the limit, and
-  // requests.
+  // How far all gateways together may exceed the limit: by a share of it, plus
+  // a number of requests.
   double overage_share = 0.1;
   double slack_requests = 20;
 };
--- a/libs/workspaces/include/workspaces/rate_report.h
+++ b/libs/workspaces/include/workspaces/rate_report.h
@@ -10,16 +10,16 @@
 
 namespace knapweedstile::workspaces {
 
-// A workspace's name as the entries tell it each other.
+// The hash by which gateways identify a workspace in reports.
 using WorkspaceHash = uint64_t;
-// The same for an entry's name.
+// The hash by which they identify a gateway.
 using GatewayHash = uint64_t;
 
-// The rate holds in the whole window and in each of its fifths and their
-// multiples: the last fifth, the last two and so on.
+// The rate limit applies to the full window and to the last fifth of it, the
+// last two fifths and so on.
 inline constexpr size_t kRateSpans = 5;
 
-// What one entry has admitted of a workspace lately.
+// The requests of a workspace that one gateway has admitted recently.
 struct AdmittedCount {
   WorkspaceHash workspace = 0;
   // In the last fifth of the window, in the last two fifths and so on.
@@ -28,23 +28,23 @@
   uint32_t in_window() const noexcept { return in_spans.back(); }
 };
 
-// What a process of an entry that is gone had admitted before its end.
+// The requests that a process of a gateway had admitted before it ended.
 struct PreviousProcessCount {
   GatewayHash gateway = 0;
   WorkspaceHash workspace = 0;
   uint32_t in_window = 0;
 };
 
-// What one entry tells the others of the requests that it has admitted. Counts
-// are whole, so that a later report makes good a lost one.
+// One gateway's report to its peers on the requests that it has admitted. The
+// counts are absolute, so that a later report replaces a lost one.
 struct RateReport {
-  Duration uptime{};  // of the entry's process
-  // Entries of the fleet, as far as the entry knows; zero: it does not.
+  Duration uptime{};  // of the gateway's process
+  // Gateways in the fleet; zero: the sender has not read the list yet.
   uint32_t fleet_size = 0;
   std::vector<AdmittedCount> admitted;
-  // Whole reports only.
+  // In full reports only.
   std::vector<PreviousProcessCount> previous_processes;
-  // Entries of the fleet that this one does not hear; whole reports only.
+  // Gateways that the sender gets no reports from; in full reports only.
   std::vector<GatewayHash> unreachable;
 };
 
--- a/libs/workspaces/include/workspaces/workspace.h
+++ b/libs/workspaces/include/workspaces/workspace.h
@@ -12,15 +12,15 @@
 
 namespace knapweedstile::workspaces {
 
-// One customer's part of the system, whether the users' configuration names it
-// or operators wrote it as an object.
+// One customer's share of the system, defined in the users' configuration or by
+// operators as an object.
 struct Workspace {
   std::string name;
-  uint64_t version = 0;  // of the object; zero for the configuration's
+  uint64_t version = 0;  // of the object; zero: from the configuration
   std::map<std::string, std::string, std::less<>> labels;
-  std::vector<std::string> models;  // that it may ask for; empty: all
+  std::vector<std::string> models;  // that its callers may use; empty: all
   std::vector<KeyDigest> keys;
-  // Goes before that of a request's route; zero is the most urgent.
+  // Overrides the priority of a request's route; zero is the most urgent.
   std::optional<uint32_t> priority;
   RateLimit rate;
 };
--- a/libs/workspaces/include/workspaces/workspace_directory.h
+++ b/libs/workspaces/include/workspaces/workspace_directory.h
@@ -12,29 +12,30 @@
 
 namespace knapweedstile::workspaces {
 
-// The workspaces in force, from both places where they are named, with one
-// look-up by key.
+// The active workspaces of both sources, the configuration and the objects that
+// operators write, with a look-up by name and by key.
 //
-// A workspace that both name is one: its keys are those of both, its priority
-// and rate those of the configuration, its labels and models those of the
-// object. A key that the configuration gives to one workspace and an object to
-// another belongs to the configuration's.
+// A workspace that is defined in both is merged: it has the keys of both, the
+// priority and rate of the configuration, and the labels and models of the
+// object. If the configuration and an object give the same key to different
+// workspaces, the key belongs to the configuration's workspace.
 class WorkspaceDirectory {
  public:
-  // Commands. The configuration's workspaces, all of them; nothing when it has
-  // no such list. Callers need a key from the first list on.
+  // Commands.
+  // Replaces the workspaces of the configuration; no value if it has no list of
+  // workspaces. Once there has been a list, callers need a key.
   void SetConfigured(std::optional<std::vector<Workspace>> workspaces);
-  // Those that operators wrote as objects.
+  // Replaces the workspaces that operators wrote as objects.
   void SetObjects(std::vector<Workspace> workspaces);
 
-  // Queries. Null when there is none.
+  // Queries. Null if no workspace matches.
   const Workspace* FindByKey(const KeyDigest& key) const;
   const Workspace* Find(std::string_view name) const;
-  // Whether routes that are not public are entered with a key only.
+  // Whether a caller needs a key on routes that are not public.
   bool needs_key() const noexcept { return configured_.has_value(); }
   // Whether any workspace has a key.
   bool has_keys() const noexcept { return !names_by_key_.empty(); }
-  // Whether the rate of any workspace is limited.
+  // Whether any workspace has a rate limit.
   bool has_rate_limits() const noexcept { return has_rate_limits_; }
   // By name.
   const std::map<std::string, Workspace, std::less<>>& all() const noexcept {
--- a/libs/workspaces/src/admission_window.cc
+++ b/libs/workspaces/src/admission_window.cc
@@ -5,11 +5,11 @@
 
 namespace knapweedstile::workspaces {
 
-void AdmissionWindow::Advance(int64_t slot) {
-  if (slot <= newest_bucket_) return;
-  const int64_t first_new = std::max(newest_bucket_ + 1, slot - kBuckets + 1);
-  for (int64_t at = first_new; at <= slot; ++at) counts_[at % kBuckets] = 0;
-  newest_bucket_ = slot;
+void AdmissionWindow::Advance(int64_t bucket) {
+  if (bucket <= newest_bucket_) return;
+  const int64_t first_new = std::max(newest_bucket_ + 1, bucket - kBuckets + 1);
+  for (int64_t i = first_new; i <= bucket; ++i) counts_[i % kBuckets] = 0;
+  newest_bucket_ = bucket;
 }
 
 void AdmissionWindow::Add(TimePoint now) {
@@ -20,9 +20,9 @@
 
 void AdmissionWindow::Remove(TimePoint admitted_at, TimePoint now) {
   Advance(BucketOf(now));
-  const int64_t slot = BucketOf(admitted_at);
-  if (slot <= newest_bucket_ - kBuckets) return;
-  uint16_t& count = counts_[slot % kBuckets];
+  const int64_t bucket = BucketOf(admitted_at);
+  if (bucket <= newest_bucket_ - kBuckets) return;
+  uint16_t& count = counts_[bucket % kBuckets];
   if (count > 0) --count;
 }
 
@@ -31,9 +31,9 @@
   const int64_t oldest_kept = newest_bucket_ - kBuckets + 1;
   const int64_t first = std::max(BucketOf(now - span), oldest_kept);
   uint32_t count = 0;
-  for (int64_t at = std::max<int64_t>(first, 0);
-       at <= std::min(last, newest_bucket_); ++at) {
-    count += counts_[at % kBuckets];
+  for (int64_t i = std::max<int64_t>(first, 0);
+       i <= std::min(last, newest_bucket_); ++i) {
+    count += counts_[i % kBuckets];
   }
   return count;
 }
--- a/libs/workspaces/src/credentials.cc
+++ b/libs/workspaces/src/credentials.cc
@@ -7,22 +7,23 @@
 namespace knapweedstile::workspaces {
 namespace {
 
-constexpr std::string_view kField = "Authorization";
+constexpr std::string_view kFieldName = "Authorization";
 constexpr std::string_view kScheme = "Bearer ";
-constexpr size_t kMostKeyBytes = 4096;
+constexpr size_t kMaxKeyBytes = 4096;
 
-bool Same(std::string_view a, std::string_view b) {
+bool EqualsIgnoringCase(std::string_view a, std::string_view b) {
   return boost::beast::iequals({a.data(), a.size()}, {b.data(), b.size()});
 }
 
 bool IsVisible(char c) { return c > ' ' && c <= '~'; }
 
 std::optional<KeyDigest> ParseBearer(std::string_view value) {
-  if (!Same(value.substr(0, kScheme.size()), kScheme)) return std::nullopt;
+  if (!EqualsIgnoringCase(value.substr(0, kScheme.size()), kScheme))
+    return std::nullopt;
   std::string_view key = value.substr(kScheme.size());
   while (key.starts_with(' ')) key.remove_prefix(1);
   while (key.ends_with(' ')) key.remove_suffix(1);
-  if (key.empty() || key.size() > kMostKeyBytes) return std::nullopt;
+  if (key.empty() || key.size() > kMaxKeyBytes) return std::nullopt;
   if (!std::all_of(key.begin(), key.end(), IsVisible)) return std::nullopt;
   return DigestOf(key);
 }
@@ -32,7 +33,7 @@
 Credentials ReadCredentials(const http::HeaderList& headers) {
   Credentials credentials;
   for (const auto& [name, value] : headers.fields()) {
-    if (!Same(name, kField)) continue;
+    if (!EqualsIgnoringCase(name, kFieldName)) continue;
     if (credentials.present) return {.present = true};
     credentials = {.present = true, .key = ParseBearer(value)};
   }
--- a/libs/workspaces/src/key_digest.cc
+++ b/libs/workspaces/src/key_digest.cc
@@ -5,7 +5,7 @@
 namespace knapweedstile::workspaces {
 namespace {
 
-constexpr unsigned kBitsOfDigit = 4;
+constexpr unsigned kBitsPerDigit = 4;
 
 std::optional<uint8_t> ValueOfDigit(char digit) {
   constexpr std::string_view kDigits = "0123456789abcdef";
@@ -30,7 +30,7 @@
     const auto high = ValueOfDigit(hex[2 * i]);
     const auto low = ValueOfDigit(hex[2 * i + 1]);
     if (!high || !low) return std::nullopt;
-    digest.bytes[i] = static_cast<uint8_t>(*high << kBitsOfDigit | *low);
+    digest.bytes[i] = static_cast<uint8_t>(*high << kBitsPerDigit | *low);
   }
   return digest;
 }
--- a/libs/workspaces/src/rate_quota.cc
+++ b/libs/workspaces/src/rate_quota.cc
@@ -7,41 +7,43 @@
 namespace {
 
 constexpr std::chrono::seconds kSecond{1};
-// Whole reports come every 250 ms.
-constexpr std::chrono::milliseconds kSilence{400};
-// An entry that is silent for longer is gone, and nothing is kept for it.
-constexpr std::chrono::seconds kGone{30};
-
-// Of the requests that may be admitted beyond a limit, for counts that are told
-// late and rounded up, for the groups of a split fleet, and for the first
-// seconds of a fleet. The rest is for what is admitted before a cut is known.
-constexpr double kCountPart = 0.2;
-constexpr double kSplitPart = 0.4;
-constexpr double kStartPart = 0.5;
-
-// Of a silent entry's part of the limit, by its demand; the rest by number.
-constexpr double kDemandPart = 0.5;
-// Between two reports, of the hottest workspace.
-constexpr double kMostGrowth = 4;
-// As long as nobody has told how many entries there are.
-constexpr double kAssumedEntries = 64;
-// Of each workspace, in the window, whatever the entry's part: the first
-// callers after a start are not turned away for what others may have admitted.
-constexpr double kLeastPart = 2;
+// Peers send a full report every 250 ms.
+constexpr std::chrono::milliseconds kReportTimeout{400};
+// No share of a limit is kept for a peer that is unreachable for longer.
+constexpr std::chrono::seconds kPeerRemovalTimeout{30};
+
+// Shares of the overage: for counts that arrive late and are rounded up, for
+// the groups of a partitioned fleet, and for the first seconds after the fleet
+// has started. The rest covers what is admitted until a partition is detected.
+constexpr double kCountingOverageShare = 0.2;
+constexpr double kPartitionOverageShare = 0.4;
+constexpr double kStartupOverageShare = 0.5;
+
+// How much of an unreachable peer's share of the limit follows its demand; the
+// rest is the same for each gateway.
+constexpr double kDemandWeight = 0.5;
+// The most by which a workspace's count may grow between two reports.
+constexpr double kMaxGrowthFactor = 4;
+// Used until a peer has reported the size of the fleet.
+constexpr double kAssumedFleetSize = 64;
+// Requests of each workspace in the window that are admitted whatever the
+// gateway's share: the first callers after a start are not rejected because of
+// what peers may have admitted.
+constexpr double kMinRequestsPerWindow = 2;
 
 constexpr double kUnbounded = std::numeric_limits<double>::infinity();
 
-constexpr std::chrono::seconds kLongestReturn{30};
-constexpr std::chrono::milliseconds kSoonReturn{300};
-// What a datagram holds.
-constexpr size_t kMostReported = 4000;
+constexpr std::chrono::seconds kMaxRetryAfter{30};
+constexpr std::chrono::milliseconds kShortRetryAfter{300};
+// A report must fit in one datagram.
+constexpr size_t kMaxReportedWorkspaces = 4000;
 
 }  // namespace
 
-RateQuota::RateQuota(const RateQuotaSettings& settings, GatewayHash own_entry,
+RateQuota::RateQuota(const RateQuotaSettings& settings, GatewayHash own_gateway,
                      uint64_t seed, TimePoint started_at)
     : settings_(settings),
-      own_gateway_(own_entry),
+      own_gateway_(own_gateway),
       started_at_(started_at),
       rng_(seed) {}
 
@@ -49,12 +51,12 @@
   return limit.MaxRequestsIn(ToSeconds(settings_.window));
 }
 
-double RateQuota::Overage(double part, double limit) const noexcept {
-  return part * (settings_.overage_share * limit + settings_.slack_requests);
+double RateQuota::Overage(double share, double limit) const noexcept {
+  return share * (settings_.overage_share * limit + settings_.slack_requests);
 }
 
-// Old counts are kept whole until the last of them has left the window: when
-// within it they were admitted is not told.
+// An old count is not reduced until all of it may have left the window: reports
+// do not say when within the window the requests were admitted.
 uint32_t RateQuota::CountStillInWindow(uint32_t count, TimePoint reported_at,
                                        TimePoint now) const {
   return now - reported_at < settings_.window ? count : 0;
@@ -62,25 +64,25 @@
 
 RateQuota::AdmittedTotals RateQuota::TotalsOf(WorkspaceHash workspace,
                                               TimePoint now) const {
-  AdmittedTotals known;
-  const auto add = [&known](const AdmittedCount& count) {
-    known.all += count.in_window();
-    known.reachable += count.in_window();
+  AdmittedTotals totals;
+  const auto add = [&totals](const AdmittedCount& count) {
+    totals.all += count.in_window();
+    totals.reachable += count.in_window();
     for (size_t span = 0; span < kRateSpans; ++span) {
-      known.reachable_in_spans[span] += count.in_spans[span];
+      totals.reachable_in_spans[span] += count.in_spans[span];
     }
   };
   if (const auto own = own_.find(workspace); own != own_.end()) {
     const AdmittedCount count = CountOf(workspace, own->second, now);
-    known.own = count.in_window();
+    totals.own = count.in_window();
     add(count);
   }
-  for (const auto& [entry, peer] : peers_) {
+  for (const auto& [gateway, peer] : peers_) {
     const auto count = peer.counts.find(workspace);
     if (count == peer.counts.end()) continue;
     if (peer.unreachable) {
-      known.all += CountStillInWindow(count->second.in_window(),
-                                      peer.last_report_at, now);
+      totals.all += CountStillInWindow(count->second.in_window(),
+                                       peer.last_report_at, now);
       continue;
     }
     add(count->second);
@@ -88,131 +90,140 @@
   const auto first = previous_counts_.lower_bound({workspace, 0});
   for (auto at = first;
        at != previous_counts_.end() && at->first.first == workspace; ++at) {
-    known.all +=
+    totals.all +=
         CountStillInWindow(at->second.count, at->second.counted_at, now);
   }
-  return known;
+  return totals;
 }
 
-// Failure guarded against: all entries are killed while a workspace is at its
-// limit, are back within a second and admit the whole burst again. The seconds
-// before the oldest process among those heard are known to nobody; they are
-// taken for as full as the limit allows, and what is admitted since makes up
-// for what has left the window since.
+// Guards against a second burst after a common restart: all gateways are killed
+// while a workspace is at its limit, restart within a second and have no counts
+// of what was admitted before. The time before the start of the oldest
+// reachable process is assumed to be as full as the limit allows, so that only
+// as much is admitted as has left the window since that start.
 double RateQuota::MaxSinceStart(const RateLimit& limit, TimePoint now) const {
-  Duration known_for = now - started_at_;
-  for (const auto& [entry, peer] : peers_) {
+  Duration covered = now - started_at_;
+  for (const auto& [gateway, peer] : peers_) {
     if (!peer.full_report_received || peer.unreachable) continue;
-    known_for = std::max(known_for, peer.uptime + (now - peer.last_report_at));
+    covered = std::max(covered, peer.uptime + (now - peer.last_report_at));
   }
-  if (known_for >= settings_.window) return kUnbounded;
-  return limit.per_second * ToSeconds(known_for) +
-         Overage(kStartPart, WindowLimit(limit));
+  if (covered >= settings_.window) return kUnbounded;
+  return limit.per_second * ToSeconds(covered) +
+         Overage(kStartupOverageShare, WindowLimit(limit));
 }
 
 double RateQuota::ReachableShare(WorkspaceHash workspace) const {
   if (!members_known_) {
-    // The fleet is listed seconds after a start at a small VM; entries that are
-    // faster tell how many there are.
-    const auto heard = static_cast<double>(fleet_size() - unreachable_count_);
+    // On a small VM the list of the fleet is read seconds after the start;
+    // until then the size that faster peers report is used.
+    const auto reachable =
+        static_cast<double>(fleet_size() - unreachable_count_);
     const double all =
-        advertised_fleet_size_ > 0 ? advertised_fleet_size_ : kAssumedEntries;
-    return std::min(1.0, heard / all);
+        advertised_fleet_size_ > 0 ? advertised_fleet_size_ : kAssumedFleetSize;
+    return std::min(1.0, reachable / all);
   }
   if (unreachable_count_ == 0) return 1;
-  const double of_one = 1.0 / static_cast<double>(fleet_size());
-  double silent_part = 0;
-  for (const auto& [entry, peer] : peers_) {
+  const double equal_share = 1.0 / static_cast<double>(fleet_size());
+  double unreachable_share = 0;
+  for (const auto& [gateway, peer] : peers_) {
     if (!peer.unreachable) continue;
     const auto share = peer.demand_share.find(workspace);
-    const bool never_heard = peer.start == 0;
-    const double unknown = never_heard ? of_one : 0;
+    const bool never_reported = peer.start == 0;
+    const double assumed = never_reported ? equal_share : 0;
     const double demand =
-        share == peer.demand_share.end() ? unknown : share->second;
-    silent_part += kDemandPart * demand + (1 - kDemandPart) * of_one;
+        share == peer.demand_share.end() ? assumed : share->second;
+    unreachable_share +=
+        kDemandWeight * demand + (1 - kDemandWeight) * equal_share;
   }
-  return std::max(0.0, 1 - silent_part);
+  return std::max(0.0, 1 - unreachable_share);
 }
 
-// Failure guarded against: a workspace that was quiet spends the rate of a
-// whole window in its first seconds. If all entries then restart and the rate
-// grows anew, both lie in one window. With every span bounded, what was spent
-// up to a restart and what grows after it fit one window together.
+// Guards against a workspace that was idle and uses the rate of the full window
+// in its first seconds. If all gateways then restart, that burst and the rate
+// that grows from the start would fall into one window. With each span limited,
+// both fit into one window together.
 bool RateQuota::FitsAllSpans(const RateLimit& limit,
-                             const AdmittedTotals& known) const {
-  const double counting = Overage(kCountPart, WindowLimit(limit));
+                             const AdmittedTotals& totals) const {
+  const double counting_overage =
+      Overage(kCountingOverageShare, WindowLimit(limit));
   for (size_t span = 0; span < kRateSpans; ++span) {
-    const double most = limit.MaxRequestsIn(ToSeconds(SpanOf(span))) + counting;
-    if (known.reachable_in_spans[span] + 1 > std::max(1.0, most)) return false;
+    const double max_requests =
+        limit.MaxRequestsIn(ToSeconds(SpanOf(span))) + counting_overage;
+    if (totals.reachable_in_spans[span] + 1 > std::max(1.0, max_requests))
+      return false;
   }
   return true;
 }
 
 RateVerdict RateQuota::Decide(WorkspaceHash workspace, const RateLimit& limit,
-                              const AdmittedTotals& known,
+                              const AdmittedTotals& totals,
                               TimePoint now) const {
-  const double whole = WindowLimit(limit);
-  const auto fits = [](double count, double most) {
-    return count + 1 <= std::max(1.0, most);
+  const double window_limit = WindowLimit(limit);
+  const auto fits = [](double count, double max_requests) {
+    return count + 1 <= std::max(1.0, max_requests);
   };
-  const double counting = Overage(kCountPart, whole);
-  if (!fits(known.all, whole + counting)) return RateVerdict::kOverRate;
-  if (!FitsAllSpans(limit, known)) return RateVerdict::kOverRate;
+  const double counting_overage = Overage(kCountingOverageShare, window_limit);
+  if (!fits(totals.all, window_limit + counting_overage))
+    return RateVerdict::kOverRate;
+  if (!FitsAllSpans(limit, totals)) return RateVerdict::kOverRate;
   const double since_start = MaxSinceStart(limit, now);
-  if (!fits(known.all, since_start)) return RateVerdict::kStarting;
-  const double part = ReachableShare(workspace);
-  const double free = std::min(since_start, whole + Overage(kSplitPart, whole));
-  const double most = std::max(kLeastPart, part * free);
-  if (part < 1 && !fits(known.reachable, most)) {
+  if (!fits(totals.all, since_start)) return RateVerdict::kStarting;
+  const double share = ReachableShare(workspace);
+  const double available =
+      std::min(since_start,
+               window_limit + Overage(kPartitionOverageShare, window_limit));
+  const double max_requests =
+      std::max(kMinRequestsPerWindow, share * available);
+  if (share < 1 && !fits(totals.reachable, max_requests)) {
     return RateVerdict::kSplit;
   }
   return RateVerdict::kAdmitted;
 }
 
-// Those that are refused come back one after the other, as fast as this entry's
-// share of the rate admits them, and not as one.
+// Spreads the retries of rejected callers in time, at the rate at which this
+// gateway's share of the limit can admit them.
 Duration RateQuota::RetryAfter(OwnCounts& own, const RateLimit& limit,
-                               const AdmittedTotals& known, RateVerdict verdict,
-                               TimePoint now) {
+                               const AdmittedTotals& totals,
+                               RateVerdict verdict, TimePoint now) {
   if (verdict != RateVerdict::kOverRate) {
-    return kSoonReturn +
-           FromSeconds(ToSeconds(kSoonReturn) * UniformUnit(rng_));
+    return kShortRetryAfter +
+           FromSeconds(ToSeconds(kShortRetryAfter) * UniformUnit(rng_));
   }
-  const double demand = known.all > 0 ? known.own / known.all : 0;
+  const double demand = totals.all > 0 ? totals.own / totals.all : 0;
   const double share =
       std::max(demand, 1.0 / static_cast<double>(fleet_size()));
   const Duration step = FromSeconds(1 / (limit.per_second * share));
   const TimePoint from = std::max(own.last_retry_at, now);
-  own.last_retry_at = std::min(from + step, now + kLongestReturn);
+  own.last_retry_at = std::min(from + step, now + kMaxRetryAfter);
   const Duration spread = FromSeconds(ToSeconds(step) * UniformUnit(rng_));
-  return std::min<Duration>(from + spread - now, kLongestReturn) +
+  return std::min<Duration>(from + spread - now, kMaxRetryAfter) +
          FromSeconds(1 / limit.per_second);
 }
 
 RateDecision RateQuota::Admit(WorkspaceHash workspace, const RateLimit& limit,
                               TimePoint now) {
   if (!limit.limited()) return {};
-  const AdmittedTotals known = TotalsOf(workspace, now);
-  RateDecision answer{.verdict = Decide(workspace, limit, known, now),
-                      .limit = WindowLimit(limit),
-                      .total_admitted = known.all,
-                      .own_admitted = known.own,
-                      .unreachable_gateways = unreachable_count_};
+  const AdmittedTotals totals = TotalsOf(workspace, now);
+  RateDecision decision{.verdict = Decide(workspace, limit, totals, now),
+                        .limit = WindowLimit(limit),
+                        .total_admitted = totals.all,
+                        .own_admitted = totals.own,
+                        .unreachable_gateways = unreachable_count_};
   OwnCounts& own = own_.try_emplace(workspace, settings_.window).first->second;
   own.used_at = now;
-  if (answer.verdict == RateVerdict::kAdmitted) {
+  if (decision.verdict == RateVerdict::kAdmitted) {
     own.window.Add(now);
     if (!std::exchange(own.changed, true)) changed_.push_back(workspace);
-    return answer;
+    return decision;
   }
   own.rejected.Add(now);
-  for (const auto& [entry, peer] : peers_) {
+  for (const auto& [gateway, peer] : peers_) {
     if (peer.unreachable) continue;
-    answer.oldest_report_age =
-        std::max(answer.oldest_report_age, now - peer.last_report_at);
+    decision.oldest_report_age =
+        std::max(decision.oldest_report_age, now - peer.last_report_at);
   }
-  answer.retry_after = RetryAfter(own, limit, known, answer.verdict, now);
-  return answer;
+  decision.retry_after = RetryAfter(own, limit, totals, decision.verdict, now);
+  return decision;
 }
 
 void RateQuota::Refund(WorkspaceHash workspace, TimePoint admitted_at,
@@ -225,35 +236,35 @@
 void RateQuota::SetMembers(const std::vector<GatewayHash>& others,
                            TimePoint now) {
   members_known_ = true;
-  for (const GatewayHash entry : others) {
-    if (removed_peers_.contains(entry)) continue;
-    const auto [peer, is_new] = peers_.try_emplace(entry);
+  for (const GatewayHash gateway : others) {
+    if (removed_peers_.contains(gateway)) continue;
+    const auto [peer, is_new] = peers_.try_emplace(gateway);
     if (!is_new) continue;
     peer->second.unreachable_since = now;
     ++unreachable_count_;
   }
 }
 
-void RateQuota::KeepPreviousCounts(GatewayHash entry, const Peer& peer) {
+void RateQuota::KeepPreviousCounts(GatewayHash gateway, const Peer& peer) {
   for (const auto& [workspace, count] : peer.counts) {
-    PreviousCount& former = previous_counts_[{workspace, entry}];
-    former = {count.in_window(), peer.last_report_at, true};
+    PreviousCount& previous = previous_counts_[{workspace, gateway}];
+    previous = {count.in_window(), peer.last_report_at, true};
   }
 }
 
-void RateQuota::OnReport(GatewayHash entry, uint64_t start,
-                         const RateReport& report, bool partial,
+void RateQuota::OnReport(GatewayHash gateway, uint64_t start,
+                         const RateReport& report, bool incremental,
                          TimePoint now) {
-  if (entry == own_gateway_) return;
-  removed_peers_.erase(entry);
-  const auto [found, is_new] = peers_.try_emplace(entry);
+  if (gateway == own_gateway_) return;
+  removed_peers_.erase(gateway);
+  const auto [found, is_new] = peers_.try_emplace(gateway);
   Peer& peer = found->second;
   if (is_new) {
     peer.unreachable_since = now;
     ++unreachable_count_;
   }
   if (start != peer.start) {
-    KeepPreviousCounts(entry, peer);
+    KeepPreviousCounts(gateway, peer);
     peer.start = start;
     peer.full_report_received = false;
     peer.counts.clear();
@@ -261,7 +272,7 @@
   peer.last_report_at = now;
   peer.uptime = report.uptime;
   advertised_fleet_size_ = std::max(advertised_fleet_size_, report.fleet_size);
-  if (!partial) {
+  if (!incremental) {
     peer.counts.clear();
     peer.full_report_received = true;
     peer.receives_our_reports =
@@ -272,31 +283,32 @@
     peer.counts[count.workspace] = count;
   }
   for (const PreviousProcessCount& reported : report.previous_processes) {
-    PreviousCount& former =
+    PreviousCount& previous =
         previous_counts_[{reported.workspace, reported.gateway}];
-    const uint32_t known =
-        CountStillInWindow(former.count, former.counted_at, now);
-    if (known < reported.in_window) former = {reported.in_window, now, false};
+    const uint32_t recorded =
+        CountStillInWindow(previous.count, previous.counted_at, now);
+    if (recorded < reported.in_window)
+      previous = {reported.in_window, now, false};
   }
 }
 
-void RateQuota::RemovePeer(GatewayHash entry) {
-  removed_peers_.insert(entry);
-  const auto peer = peers_.find(entry);
+void RateQuota::RemovePeer(GatewayHash gateway) {
+  removed_peers_.insert(gateway);
+  const auto peer = peers_.find(gateway);
   if (peer == peers_.end()) return;
-  KeepPreviousCounts(entry, peer->second);
+  KeepPreviousCounts(gateway, peer->second);
   if (peer->second.unreachable) --unreachable_count_;
   peers_.erase(peer);
 }
 
-// Failure guarded against: a process that stood still for seconds knows only
-// what was told before, takes its workspaces' limits for free and admits what
-// the others have admitted meanwhile.
+// Guards against a process that was paused for seconds, has only the reports
+// from before the pause, takes the limits for unused and admits once more what
+// peers have admitted in the meantime.
 void RateQuota::OnPaused() {
-  for (auto& [entry, peer] : peers_) peer.full_report_received = false;
+  for (auto& [gateway, peer] : peers_) peer.full_report_received = false;
 }
 
-// By what factor the own count has grown since then.
+// The factor by which the own count has grown since `since`.
 double RateQuota::OwnGrowth(WorkspaceHash workspace, TimePoint since,
                             TimePoint now) const {
   const auto own = own_.find(workspace);
@@ -304,7 +316,7 @@
   const AdmissionWindow& window = own->second.window;
   const double count = window.CountIn(settings_.window, now);
   const double before = count - window.CountIn(now - since, now);
-  return std::clamp(count / std::max(1.0, before), 1.0, kMostGrowth);
+  return std::clamp(count / std::max(1.0, before), 1.0, kMaxGrowthFactor);
 }
 
 void RateQuota::MarkUnreachable(Peer& peer, TimePoint now) {
@@ -312,8 +324,8 @@
   peer.demand_share.clear();
   for (const auto& [workspace, count] : peer.counts) {
     const double all = TotalsOf(workspace, now).all;
-    // What it has admitted since it was heard counts here as little as what its
-    // side knows of this one: taken to have grown as the own count has.
+    // What the peer has admitted since its last report is missing here, as ours
+    // is missing there: its count is assumed to have grown as the own one has.
     const double reported = count.in_window();
     const double grown =
         reported * OwnGrowth(workspace, peer.last_report_at, now);
@@ -325,12 +337,12 @@
 }
 
 void RateQuota::Expire(TimePoint now) {
-  for (auto& [entry, peer] : peers_) {
-    const bool silent = !peer.full_report_received ||
-                        !peer.receives_our_reports ||
-                        now - peer.last_report_at > kSilence;
-    if (silent == peer.unreachable) continue;
-    if (silent) {
+  for (auto& [gateway, peer] : peers_) {
+    const bool unreachable = !peer.full_report_received ||
+                             !peer.receives_our_reports ||
+                             now - peer.last_report_at > kReportTimeout;
+    if (unreachable == peer.unreachable) continue;
+    if (unreachable) {
       MarkUnreachable(peer, now);
     } else {
       peer.unreachable = false;
@@ -338,19 +350,20 @@
       --unreachable_count_;
     }
   }
-  std::erase_if(peers_, [&](const auto& entry) {
-    const Peer& peer = entry.second;
-    if (!peer.unreachable || now - peer.unreachable_since < kGone) return false;
+  std::erase_if(peers_, [&](const auto& element) {
+    const Peer& peer = element.second;
+    if (!peer.unreachable || now - peer.unreachable_since < kPeerRemovalTimeout)
+      return false;
     --unreachable_count_;
-    removed_peers_.insert(entry.first);
+    removed_peers_.insert(element.first);
     return true;
   });
-  std::erase_if(previous_counts_, [this, now](const auto& entry) {
-    return now - entry.second.counted_at >= settings_.window;
+  std::erase_if(previous_counts_, [this, now](const auto& element) {
+    return now - element.second.counted_at >= settings_.window;
   });
-  std::erase_if(own_, [this, now](const auto& entry) {
-    return now - entry.second.used_at >= settings_.window + kSecond &&
-           entry.second.last_retry_at <= now && !entry.second.changed;
+  std::erase_if(own_, [this, now](const auto& element) {
+    return now - element.second.used_at >= settings_.window + kSecond &&
+           element.second.last_retry_at <= now && !element.second.changed;
   });
 }
 
@@ -381,25 +394,25 @@
     const AdmittedCount count = CountOf(workspace, own, now);
     if (count.in_window() > 0) report.admitted.push_back(count);
   }
-  if (report.admitted.size() > kMostReported) {
-    const auto most = report.admitted.begin() + kMostReported;
-    std::nth_element(report.admitted.begin(), most, report.admitted.end(),
+  if (report.admitted.size() > kMaxReportedWorkspaces) {
+    const auto end = report.admitted.begin() + kMaxReportedWorkspaces;
+    std::nth_element(report.admitted.begin(), end, report.admitted.end(),
                      [](const AdmittedCount& a, const AdmittedCount& b) {
                        return a.in_window() > b.in_window();
                      });
-    report.admitted.resize(kMostReported);
+    report.admitted.resize(kMaxReportedWorkspaces);
   }
-  for (const auto& [key, former] : previous_counts_) {
-    if (!former.received_directly) continue;
-    const uint32_t left =
-        CountStillInWindow(former.count, former.counted_at, now);
-    if (left > 0)
-      report.previous_processes.push_back({key.second, key.first, left});
+  for (const auto& [key, previous] : previous_counts_) {
+    if (!previous.received_directly) continue;
+    const uint32_t remaining =
+        CountStillInWindow(previous.count, previous.counted_at, now);
+    if (remaining > 0)
+      report.previous_processes.push_back({key.second, key.first, remaining});
   }
-  for (const auto& [entry, peer] : peers_) {
-    const bool unreachable =
-        !peer.full_report_received || now - peer.last_report_at > kSilence;
-    if (unreachable) report.unreachable.push_back(entry);
+  for (const auto& [gateway, peer] : peers_) {
+    const bool unreachable = !peer.full_report_received ||
+                             now - peer.last_report_at > kReportTimeout;
+    if (unreachable) report.unreachable.push_back(gateway);
   }
   return report;
 }
--- a/libs/workspaces/src/workspace_directory.cc
+++ b/libs/workspaces/src/workspace_directory.cc
@@ -5,9 +5,9 @@
 
 namespace knapweedstile::workspaces {
 
-// Failure guarded against: a list that is gone from a later configuration, by
-// an operator's mistake, would open every route to everybody. Once there was a
-// list, no list is an empty one.
+// Guards against an operator's mistake: a later configuration without the list
+// of workspaces would open every route to every caller. Once there has been a
+// list, a missing one is treated as empty.
 void WorkspaceDirectory::SetConfigured(
     std::optional<std::vector<Workspace>> workspaces) {
   if (!workspaces && !configured_) return;
@@ -29,9 +29,10 @@
     }
   }
   for (const Workspace& object : objects_) {
-    const auto [known, is_new] = workspaces_.try_emplace(object.name, object);
+    const auto [existing, is_new] =
+        workspaces_.try_emplace(object.name, object);
     if (is_new) continue;
-    Workspace& workspace = known->second;
+    Workspace& workspace = existing->second;
     workspace.version = object.version;
     workspace.labels = object.labels;
     workspace.models = object.models;
--- a/libs/workspaces/tests/other_quotas.h
+++ b/libs/workspaces/tests/other_quotas.h
@@ -14,11 +14,11 @@
 
 namespace knapweedstile::workspaces {
 
-// Other ways to keep a rate over all entries, to compare RateQuota with. They
-// know one workspace.
+// Alternative ways to enforce a rate limit over all gateways, to compare with
+// RateQuota. They support a single workspace.
 
-// Each entry admits what fits by the counts that it has heard, and asks nothing
-// about what it has not.
+// Each gateway admits what fits by the counts that it has received, and ignores
+// that others may be missing.
 class GossipQuota {
  public:
   GossipQuota(const RateQuotaSettings& settings, GatewayHash /*own*/,
@@ -29,29 +29,29 @@
                   TimePoint /*now*/) {}
   void OnPaused() {}
   void Expire(TimePoint now) {
-    std::erase_if(heard_, [&](const auto& peer) {
-      return now - peer.second.heard_at > settings_.window;
+    std::erase_if(peers_, [&](const auto& peer) {
+      return now - peer.second.received_at > settings_.window;
     });
   }
   RateDecision Admit(WorkspaceHash /*workspace*/, const RateLimit& limit,
                      TimePoint now) {
-    double known = window_.CountIn(settings_.window, now);
-    double second = window_.CountIn(kSecond, now);
-    for (const auto& [entry, peer] : heard_) {
-      known += peer.count.in_window();
-      second += peer.count.in_spans.front();
+    double in_window = window_.CountIn(settings_.window, now);
+    double in_second = window_.CountIn(kSecond, now);
+    for (const auto& [gateway, peer] : peers_) {
+      in_window += peer.count.in_window();
+      in_second += peer.count.in_spans.front();
     }
-    if (known + 1 > limit.MaxRequestsIn(ToSeconds(settings_.window)) ||
-        second + 1 > limit.MaxRequestsIn(1)) {
+    if (in_window + 1 > limit.MaxRequestsIn(ToSeconds(settings_.window)) ||
+        in_second + 1 > limit.MaxRequestsIn(1)) {
       return {.verdict = RateVerdict::kOverRate};
     }
     window_.Add(now);
     return {};
   }
-  void OnReport(GatewayHash entry, uint64_t /*start*/, const RateReport& report,
-                bool /*partial*/, TimePoint now) {
-    heard_[entry] = {now, report.admitted.empty() ? AdmittedCount{}
-                                                  : report.admitted.front()};
+  void OnReport(GatewayHash gateway, uint64_t /*start*/,
+                const RateReport& report, bool /*incremental*/, TimePoint now) {
+    peers_[gateway] = {now, report.admitted.empty() ? AdmittedCount{}
+                                                    : report.admitted.front()};
   }
   RateReport FullReport(TimePoint now) const {
     AdmittedCount count{.workspace = 7};
@@ -63,114 +63,116 @@
 
  private:
   static constexpr std::chrono::seconds kSecond{1};
-  struct Heard {
-    TimePoint heard_at{};
+  struct ReportedCount {
+    TimePoint received_at{};
     AdmittedCount count;
   };
   RateQuotaSettings settings_;
   AdmissionWindow window_;
-  std::map<GatewayHash, Heard> heard_;
+  std::map<GatewayHash, ReportedCount> peers_;
 };
 
-// One entry, the one of the lowest name among those that are heard, fills a
-// bucket and grants what is in it to the others by what they ask for, a quarter
-// of a second ahead. A grant ends after half a second; without one an entry has
-// its part of the rate.
+// The gateway with the lowest name among the reachable ones fills a token
+// bucket and grants its tokens to the others in proportion to their demand, a
+// quarter of a second ahead. A grant expires after half a second; a gateway
+// without one has an equal share of the rate.
 class LeaseQuota {
  public:
   LeaseQuota(const RateQuotaSettings& /*settings*/, GatewayHash own,
              uint64_t /*seed*/, TimePoint started_at)
-      : own_(own), asked_(kSecond), filled_at_(started_at) {}
+      : own_(own), demand_(kSecond), filled_at_(started_at) {}
 
   void SetMembers(const std::vector<GatewayHash>& others, TimePoint /*now*/) {
-    entries_ = static_cast<double>(others.size() + 1);
+    fleet_size_ = static_cast<double>(others.size() + 1);
   }
-  void OnPaused() { heard_.clear(); }
+  void OnPaused() { peers_.clear(); }
   void Expire(TimePoint now) {
-    std::erase_if(heard_, [&](const auto& peer) {
-      return now - peer.second.heard_at > kGrantEnds;
+    std::erase_if(peers_, [&](const auto& peer) {
+      return now - peer.second.received_at > kGrantLifetime;
     });
   }
   RateDecision Admit(WorkspaceHash /*workspace*/, const RateLimit& limit,
                      TimePoint now) {
     limit_ = limit;
-    asked_.Add(now);
+    demand_.Add(now);
     if (now >= granted_until_) {
-      // Without a grant: the part of the rate, in tokens since the last one.
-      tokens_ = std::min(1.0, tokens_ + ToSeconds(now - part_at_) *
-                                            limit.per_second / entries_);
-      part_at_ = now;
+      // Without a grant: an equal share of the rate since the last token.
+      tokens_ = std::min(1.0, tokens_ + ToSeconds(now - share_counted_at_) *
+                                            limit.per_second / fleet_size_);
+      share_counted_at_ = now;
     }
     if (tokens_ < 1) return {.verdict = RateVerdict::kOverRate};
     tokens_ -= 1;
     return {};
   }
-  void OnReport(GatewayHash entry, uint64_t /*start*/, const RateReport& report,
-                bool partial, TimePoint now) {
-    Heard& heard = heard_[entry];
-    heard.heard_at = now;
+  void OnReport(GatewayHash gateway, uint64_t /*start*/,
+                const RateReport& report, bool incremental, TimePoint now) {
+    ReportedDemand& peer = peers_[gateway];
+    peer.received_at = now;
     if (!report.admitted.empty())
-      heard.asked = report.admitted.front().in_spans.front();
-    if (partial || entry != Grantor()) return;
+      peer.demand = report.admitted.front().in_spans.front();
+    if (incremental || gateway != GrantingGateway()) return;
     for (const PreviousProcessCount& grant : report.previous_processes) {
-      if (grant.gateway == own_) Take(grant.in_window, now);
+      if (grant.gateway == own_) AcceptGrant(grant.in_window, now);
     }
   }
   RateReport FullReport(TimePoint now) {
-    RateReport report{.admitted = {AskedAt(now)}};
-    if (Grantor() != own_) return report;
-    level_ = std::min(limit_.burst + limit_.per_second / 4,
-                      level_ + ToSeconds(now - filled_at_) * limit_.per_second);
+    RateReport report{.admitted = {DemandAt(now)}};
+    if (GrantingGateway() != own_) return report;
+    bucket_tokens_ = std::min(
+        limit_.burst + limit_.per_second / 4,
+        bucket_tokens_ + ToSeconds(now - filled_at_) * limit_.per_second);
     filled_at_ = now;
-    const double own_asked = asked_.CountIn(kSecond, now);
-    double all = own_asked;
-    for (const auto& [entry, heard] : heard_) all += heard.asked;
+    const double own_demand = demand_.CountIn(kSecond, now);
+    double all = own_demand;
+    for (const auto& [gateway, peer] : peers_) all += peer.demand;
     if (all <= 0) return report;
-    const double level = level_;
-    for (const auto& [entry, heard] : heard_) {
-      const auto grant = static_cast<uint32_t>(level * heard.asked / all);
+    const double bucket_tokens = bucket_tokens_;
+    for (const auto& [gateway, peer] : peers_) {
+      const auto grant =
+          static_cast<uint32_t>(bucket_tokens * peer.demand / all);
       if (grant == 0) continue;
-      report.previous_processes.push_back({entry, 7, grant});
-      level_ -= grant;
+      report.previous_processes.push_back({gateway, 7, grant});
+      bucket_tokens_ -= grant;
     }
-    const double own_grant = level * own_asked / all;
-    level_ -= own_grant;
-    Take(own_grant, now);
+    const double own_grant = bucket_tokens * own_demand / all;
+    bucket_tokens_ -= own_grant;
+    AcceptGrant(own_grant, now);
     return report;
   }
   RateReport TakeDeltaReport(TimePoint now) const {
-    return {.admitted = {AskedAt(now)}};
+    return {.admitted = {DemandAt(now)}};
   }
 
  private:
-  AdmittedCount AskedAt(TimePoint now) const {
-    return {.workspace = 7, .in_spans = {asked_.CountIn(kSecond, now)}};
+  AdmittedCount DemandAt(TimePoint now) const {
+    return {.workspace = 7, .in_spans = {demand_.CountIn(kSecond, now)}};
   }
   static constexpr std::chrono::seconds kSecond{1};
-  static constexpr std::chrono::milliseconds kGrantEnds{500};
-  struct Heard {
-    TimePoint heard_at{};
-    uint32_t asked = 0;
+  static constexpr std::chrono::milliseconds kGrantLifetime{500};
+  struct ReportedDemand {
+    TimePoint received_at{};
+    uint32_t demand = 0;
   };
-  GatewayHash Grantor() const {
-    return heard_.empty() ? own_ : std::min(own_, heard_.begin()->first);
+  GatewayHash GrantingGateway() const {
+    return peers_.empty() ? own_ : std::min(own_, peers_.begin()->first);
   }
-  void Take(double grant, TimePoint now) {
+  void AcceptGrant(double grant, TimePoint now) {
     tokens_ = grant + (now < granted_until_ ? std::min(tokens_, 1.0) : 0);
-    granted_until_ = now + kGrantEnds;
-    part_at_ = granted_until_;
+    granted_until_ = now + kGrantLifetime;
+    share_counted_at_ = granted_until_;
   }
 
   GatewayHash own_;
-  AdmissionWindow asked_;
+  AdmissionWindow demand_;
   RateLimit limit_;
-  double entries_ = 1;
+  double fleet_size_ = 1;
   double tokens_ = 0;
   TimePoint granted_until_{};
-  TimePoint part_at_{};
-  double level_ = 0;
+  TimePoint share_counted_at_{};
+  double bucket_tokens_ = 0;
   TimePoint filled_at_;
-  std::map<GatewayHash, Heard> heard_;
+  std::map<GatewayHash, ReportedDemand> peers_;
 };
 
 }  // namespace knapweedstile::workspaces
--- a/libs/workspaces/tests/rate_model.h
+++ b/libs/workspaces/tests/rate_model.h
@@ -17,60 +17,59 @@
 
 namespace knapweedstile::workspaces {
 
-// A fleet of entries in simulated time that admit the requests of one
-// workspace, and what they have admitted together. `Quota` judges at each
-// entry; entries tell each other by messages that are late or do not come.
+// Simulates a fleet of gateways that admit the requests of one workspace, and
+// counts what they admit in total. `Quota` decides at each gateway; gateways
+// exchange reports that are delayed or lost.
 template <typename Quota>
 class RateModel {
  public:
   using Time = std::chrono::milliseconds;
 
   struct Load {
-    size_t entries = 23;
+    size_t gateways = 23;
     RateLimit limit{.per_second = 64, .burst = 64};
     double usual_per_second = 40;
-    // Changes go at once to the entries of the same cell only.
+    // Incremental reports are sent to the gateways of the same cell only.
     size_t cells = 1;
-    // By the share of the entries that this workspace's callers reach.
+    // The share of the gateways that this workspace's callers reach.
     double reach = 1;
-    double hot_times = 1;  // of the usual
+    double hot_times = 1;  // a multiple of usual_per_second
     Time hot_from{0};
     Time hot_until{0};
     Time length{20000};
     uint64_t seed = 1;
   };
-  struct Cut {  // the first `side` entries and the others do not hear each
-                // other
+  struct Cut {  // a partition between the first `side` gateways and the others
     Time from{0};
     Time until{0};
     size_t side = 0;
-    bool one_way = false;  // the others hear the first ones
+    bool one_way = false;  // the others still receive from the first ones
   };
-  struct Kill {  // of the entries [first, first + count)
+  struct Kill {  // of the gateways [first, first + count)
     Time at{0};
     Time down{1000};
     size_t first = 0;
     size_t count = 0;
-    Time pause{0};  // stands still instead, for that long
-    // After the start, until the k-th of them has listed the fleet: k times
-    // this. Until then it sends nothing.
+    Time pause{0};  // if not zero, paused for that long instead
+    // The k-th of them reads the list of the fleet k times this after its
+    // start, and sends nothing until then.
     Time lists_after{0};
   };
 
   std::vector<Cut> cuts;
   std::vector<Kill> kills;
-  // The limit from then on; the one of the load before.
+  // The limit from each time on; before the first, that of the load.
   std::map<Time, RateLimit> limits;
 
   struct Result {
-    uint64_t asked = 0;
+    uint64_t requests = 0;
     uint64_t admitted = 0;
-    // What one judge who knows all would have admitted of the same requests,
-    // by the limit in each span of the window.
+    // What an ideal quota with all counts would have admitted of the same
+    // requests, by the limit in each span of the window.
     uint64_t ideal = 0;
-    // The same by the limit in one second and in the whole window only.
+    // The same by the limit in one second and in the full window only.
     uint64_t ideal_in_window = 0;
-    double most_over = -1e9;  // admitted in a window beyond limit and overage
+    double most_over = -1e9;  // admitted in a window beyond limit plus overage
     double most_over_limit = -1e9;  // the same beyond the limit alone
     uint64_t messages = 0;
     uint64_t message_bytes = 0;
@@ -79,35 +78,35 @@
   Result Run(const Load& load) {
     load_ = load;
     Rng rng(load.seed);
-    entries_.clear();
+    gateways_.clear();
     admitted_.clear();
     ideal_.clear();
     ideal_in_window_.clear();
     in_flight_.clear();
     Result result;
-    for (size_t i = 0; i < load.entries; ++i) Start(i, Time(0), Time(0));
-    // As after a long quiet time: all have been up for a while.
+    for (size_t i = 0; i < load.gateways; ++i) Start(i, Time(0), Time(0));
+    // Lets all gateways run for a while before the load starts.
     const Time begin{10000};
     for (Time now{0}; now < begin + load.length; now += Time(1)) {
       Step(now, now >= begin ? now - begin : Time(-1), rng, result);
     }
-    Judge(begin, result);
+    CheckWindows(begin, result);
     return result;
   }
 
  private:
-  static constexpr Time kHeartbeat{250};
+  static constexpr Time kFullReportInterval{250};
   static constexpr Time kTick{20};
-  static constexpr Time kShare{22};
+  static constexpr Time kIncrementalInterval{22};
   static constexpr Time kDelay{2};
 
-  struct Entry {
+  struct Gateway {
     std::unique_ptr<Quota> quota;
     uint64_t start = 0;
     Time up_from{0};  // down or paused until then
     Time phase{0};
     Time listed_at{0};
-    bool dirty = false;
+    bool has_changes = false;
   };
   struct Message {
     Time at{0};
@@ -115,38 +114,39 @@
     size_t to = 0;
     uint64_t start = 0;
     std::shared_ptr<RateReport> report;
-    bool partial = false;
+    bool incremental = false;
   };
 
   static TimePoint At(Time now) {
     return TimePoint{} + std::chrono::hours(1) + now;
   }
-  static GatewayHash Name(size_t entry) {
-    return Hash64("entry-" + std::to_string(entry));
+  static GatewayHash Name(size_t gateway) {
+    return Hash64("entry-" + std::to_string(gateway));
   }
 
   void Start(size_t i, Time now, Time listed_at) {
-    if (entries_.size() <= i) entries_.resize(i + 1);
-    Entry& entry = entries_[i];
-    entry.quota = std::make_unique<Quota>(RateQuotaSettings(), Name(i),
-                                          load_.seed + i, At(now));
-    entry.start = static_cast<uint64_t>(now.count()) + 1;
-    entry.listed_at = listed_at;
-    entry.phase = Time(static_cast<int64_t>(i * 37) % kHeartbeat.count());
+    if (gateways_.size() <= i) gateways_.resize(i + 1);
+    Gateway& gateway = gateways_[i];
+    gateway.quota = std::make_unique<Quota>(RateQuotaSettings(), Name(i),
+                                            load_.seed + i, At(now));
+    gateway.start = static_cast<uint64_t>(now.count()) + 1;
+    gateway.listed_at = listed_at;
+    gateway.phase =
+        Time(static_cast<int64_t>(i * 37) % kFullReportInterval.count());
     if (listed_at <= now) ListFleet(i, now);
   }
 
   void ListFleet(size_t i, Time now) {
     std::vector<GatewayHash> others;
-    for (size_t other = 0; other < load_.entries; ++other) {
+    for (size_t other = 0; other < load_.gateways; ++other) {
       if (other != i) others.push_back(Name(other));
     }
-    entries_[i].quota->SetMembers(others, At(now));
+    gateways_[i].quota->SetMembers(others, At(now));
   }
 
-  bool Hears(size_t from, size_t to, Time day) const {
+  bool IsDelivered(size_t from, size_t to, Time elapsed) const {
     for (const Cut& cut : cuts) {
-      if (day < cut.from || day >= cut.until) continue;
+      if (elapsed < cut.from || elapsed >= cut.until) continue;
       const bool from_side = from < cut.side;
       const bool to_side = to < cut.side;
       if (from_side == to_side) continue;
@@ -156,37 +156,37 @@
     return true;
   }
 
-  RateLimit LimitAt(Time day) const {
-    const auto later = limits.upper_bound(day);
+  RateLimit LimitAt(Time elapsed) const {
+    const auto later = limits.upper_bound(elapsed);
     return later == limits.begin() ? load_.limit : std::prev(later)->second;
   }
 
-  void Send(size_t from, bool partial, Time now, Result& result) {
-    Entry& entry = entries_[from];
+  void Send(size_t from, bool incremental, Time now, Result& result) {
+    Gateway& gateway = gateways_[from];
     auto report = std::make_shared<RateReport>(
-        partial ? entry.quota->TakeDeltaReport(At(now))
-                : entry.quota->FullReport(At(now)));
-    for (size_t to = 0; to < entries_.size(); ++to) {
+        incremental ? gateway.quota->TakeDeltaReport(At(now))
+                    : gateway.quota->FullReport(At(now)));
+    for (size_t to = 0; to < gateways_.size(); ++to) {
       if (to == from) continue;
-      if (partial && to % load_.cells != from % load_.cells) continue;
+      if (incremental && to % load_.cells != from % load_.cells) continue;
       ++result.messages;
       result.message_bytes += 4 + 10 * report->admitted.size() +
                               18 * report->previous_processes.size() +
                               8 * report->unreachable.size();
       in_flight_.push_back(
-          {now + kDelay, from, to, entry.start, report, partial});
+          {now + kDelay, from, to, gateway.start, report, incremental});
     }
   }
 
-  void Step(Time now, Time day, Rng& rng, Result& result) {
+  void Step(Time now, Time elapsed, Rng& rng, Result& result) {
     for (const Kill& kill : kills) {
-      if (day != kill.at) continue;
+      if (elapsed != kill.at) continue;
       for (size_t i = kill.first; i < kill.first + kill.count; ++i) {
         if (kill.pause.count() > 0) {
-          entries_[i].up_from = now + kill.pause;
+          gateways_[i].up_from = now + kill.pause;
         } else {
           const Time up = now + kill.down;
-          entries_[i].up_from = up;
+          gateways_[i].up_from = up;
           Start(i, up,
                 up + kill.lists_after * static_cast<int>(i - kill.first));
         }
@@ -195,47 +195,48 @@
     while (!in_flight_.empty() && in_flight_.front().at <= now) {
       const Message message = in_flight_.front();
       in_flight_.pop_front();
-      Entry& to = entries_[message.to];
-      if (to.up_from > now || !Hears(message.from, message.to, day)) continue;
+      Gateway& to = gateways_[message.to];
+      if (to.up_from > now || !IsDelivered(message.from, message.to, elapsed))
+        continue;
       to.quota->OnReport(Name(message.from), message.start, *message.report,
-                         message.partial, At(now));
+                         message.incremental, At(now));
     }
-    for (size_t i = 0; i < entries_.size(); ++i) {
-      Entry& entry = entries_[i];
-      if (entry.up_from > now) continue;
-      if (entry.up_from == now && now > Time(0)) entry.quota->OnPaused();
-      if (entry.listed_at == now && now > Time(0)) ListFleet(i, now);
-      if (entry.listed_at > now) {
-        entry.quota->Expire(At(now));
+    for (size_t i = 0; i < gateways_.size(); ++i) {
+      Gateway& gateway = gateways_[i];
+      if (gateway.up_from > now) continue;
+      if (gateway.up_from == now && now > Time(0)) gateway.quota->OnPaused();
+      if (gateway.listed_at == now && now > Time(0)) ListFleet(i, now);
+      if (gateway.listed_at > now) {
+        gateway.quota->Expire(At(now));
         continue;
       }
-      const Time phase = now + entry.phase;
-      if (phase % kTick == Time(0) || entry.up_from == now) {
-        entry.quota->Expire(At(now));
+      const Time phase = now + gateway.phase;
+      if (phase % kTick == Time(0) || gateway.up_from == now) {
+        gateway.quota->Expire(At(now));
       }
-      if (phase % kHeartbeat == Time(0)) Send(i, false, now, result);
-      if (phase % kShare == Time(0) && entry.dirty) {
-        entry.dirty = false;
+      if (phase % kFullReportInterval == Time(0)) Send(i, false, now, result);
+      if (phase % kIncrementalInterval == Time(0) && gateway.has_changes) {
+        gateway.has_changes = false;
         Send(i, true, now, result);
       }
     }
-    if (day >= Time(0)) Arrive(now, day, rng, result);
+    if (elapsed >= Time(0)) Arrive(now, elapsed, rng, result);
   }
 
-  void Arrive(Time now, Time day, Rng& rng, Result& result) {
-    const bool hot = day >= load_.hot_from && day < load_.hot_until;
+  void Arrive(Time now, Time elapsed, Rng& rng, Result& result) {
+    const bool hot = elapsed >= load_.hot_from && elapsed < load_.hot_until;
     const double rate =
         load_.usual_per_second * (hot ? load_.hot_times : 1) / 1000;
     double left = rate;
     while (left > 0 && UniformUnit(rng) < std::min(left, 1.0)) {
       left -= 1;
-      ++result.asked;
+      ++result.requests;
       const auto reached = static_cast<uint64_t>(
-          std::max(1.0, std::ceil(load_.reach * load_.entries)));
-      const size_t to = UniformBelow(rng, reached);
-      Entry& entry = entries_[to];
-      if (entry.up_from > now) continue;
-      const RateLimit limit = LimitAt(day);
+          std::max(1.0, std::ceil(load_.reach * load_.gateways)));
+      const size_t target = UniformBelow(rng, reached);
+      Gateway& gateway = gateways_[target];
+      if (gateway.up_from > now) continue;
+      const RateLimit limit = LimitAt(elapsed);
       if (Fits(ideal_, {1, 2, 3, 4, 5}, now, limit)) {
         ++result.ideal;
         ideal_.push_back(now);
@@ -244,17 +245,17 @@
         ++result.ideal_in_window;
         ideal_in_window_.push_back(now);
       }
-      const RateDecision answer =
-          entry.quota->Admit(kWorkspace, limit, At(now));
-      if (answer.verdict == RateVerdict::kAdmitted) {
-        entry.dirty = true;
+      const RateDecision decision =
+          gateway.quota->Admit(kWorkspace, limit, At(now));
+      if (decision.verdict == RateVerdict::kAdmitted) {
+        gateway.has_changes = true;
         ++result.admitted;
         admitted_.push_back(now);
       }
     }
   }
 
-  // Whether the limit has room for one more in each span, by `admitted`.
+  // Whether one more request fits the limit in each span, given `admitted`.
   static bool Fits(const std::vector<Time>& admitted,
                    std::initializer_list<int> seconds, Time now,
                    const RateLimit& limit) {
@@ -270,9 +271,9 @@
         std::upper_bound(times.begin(), times.end(), from));
   }
 
-  // Windows that end with an admission, each against the highest limit that
-  // was in force within it.
-  void Judge(Time begin, Result& result) const {
+  // Compares each window that ends with an admission with the highest limit
+  // that applied within it.
+  void CheckWindows(Time begin, Result& result) const {
     for (const Time end : admitted_) {
       double most = LimitAt(end - begin).MaxRequestsIn(5);
       for (const auto& [from, limit] : limits) {
@@ -290,7 +291,7 @@
   static constexpr WorkspaceHash kWorkspace = 7;
 
   Load load_;
-  std::vector<Entry> entries_;
+  std::vector<Gateway> gateways_;
   std::vector<Time> admitted_;
   std::vector<Time> ideal_;
   std::vector<Time> ideal_in_window_;
--- a/libs/workspaces/tests/workspace_directory_test.cc
+++ b/libs/workspaces/tests/workspace_directory_test.cc
@@ -28,14 +28,14 @@
 
 }  // namespace
 
-TEST_CASE("a key leads to its workspace until a version takes it away") {
+TEST_CASE("a key belongs to its workspace until a version removes it") {
   WorkspaceDirectory directory;
   CHECK_FALSE(directory.needs_key());
   directory.SetConfigured({{Named("kennel", {"k1", "k2"}), Named("cats", {})}});
   CHECK(directory.needs_key());
   CHECK(OwnerOf(directory, "k1") == "kennel");
   CHECK(OwnerOf(directory, "k3").empty());
-  // The key of one workspace is given to another.
+  // The key moves to another workspace.
   directory.SetConfigured({{Named("kennel", {"k2"}), Named("cats", {"k1"})}});
   CHECK(OwnerOf(directory, "k1") == "cats");
   CHECK(OwnerOf(directory, "k2") == "kennel");
@@ -44,9 +44,9 @@
   CHECK(directory.needs_key());
 }
 
-// A version of the configuration comes without its list of workspaces, by
-// mistake. Callers whose keys were taken away must not get in by it.
-TEST_CASE("without a list after there was one nobody holds a key") {
+// Guards against a configuration that lacks the list of workspaces by mistake:
+// callers whose keys were revoked must not get access.
+TEST_CASE("no key is valid once a configured list of workspaces is missing") {
   WorkspaceDirectory directory;
   directory.SetConfigured({{Named("kennel", {"k1"})}});
   directory.SetConfigured(std::nullopt);
@@ -54,7 +54,7 @@
   CHECK(OwnerOf(directory, "k1").empty());
 }
 
-TEST_CASE("a workspace that operators wrote as an object is the same one") {
+TEST_CASE("a configured workspace and an object of the same name are merged") {
   WorkspaceDirectory directory;
   Workspace configured = Named("kennel", {"k1"});
   configured.rate = {.per_second = 5, .burst = 2};
@@ -72,11 +72,11 @@
   CHECK(kennel->models.size() == 1);
   CHECK(OwnerOf(directory, "k2") == "kennel");
   CHECK(OwnerOf(directory, "k3") == "own");
-  // The configuration goes first where both give a key away.
+  // The configuration has precedence if both assign the same key.
   CHECK(OwnerOf(directory, "k1") == "kennel");
 }
 
-TEST_CASE("only one well-formed key is a key") {
+TEST_CASE("only a single well-formed key is accepted") {
   CHECK(Read({"Bearer abc"}).key == DigestOf("abc"));
   CHECK(Read({"bearer  abc "}).key == DigestOf("abc"));
   CHECK_FALSE(Read({}).present);
@@ -98,7 +98,7 @@
   }
 }
 
-TEST_CASE("a digest is read from its digits") {
+TEST_CASE("a digest is parsed from 64 lower-case hexadecimal digits") {
   const std::string hex =
       "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad";
   CHECK(ParseKeyDigest(hex) == DigestOf("abc"));
