--- a/libs/gateway/src/batch/batch_answers.cc
+++ b/libs/gateway/src/batch/batch_answers.cc
@@ -7,7 +7,7 @@
 #include "batch/batch_runner.h"
 #include "users_platform/request_headers.h"
 
-// What backend servers answer to the runs of batch items.
+// Handling of the backend servers' responses to runs of batch items.
 namespace knapweedstile::gateway {
 namespace {
 
@@ -19,17 +19,17 @@
 constexpr unsigned kUnprocessable = 422;
 constexpr unsigned kServerError = 500;
 
-constexpr std::chrono::milliseconds kNotRunPause{50};
+constexpr std::chrono::milliseconds kNotExecutedPause{50};
 constexpr std::chrono::milliseconds kFailedPause{100};
-// By the number of runs in a row that broke before any event. An innocent item
-// seldom breaks three times; one that crashes servers costs three of them, and
-// two or three more until it expires.
-constexpr std::array<std::chrono::milliseconds, 6> kBrokenPauses = {
+// Indexed by the number of consecutive runs that broke before the first event.
+// An item that is not at fault rarely breaks three times. An item that crashes
+// servers costs three of them, and two or three more until it expires.
+constexpr std::array<std::chrono::milliseconds, 6> kBrokenAttemptPauses = {
     std::chrono::milliseconds(50),    std::chrono::milliseconds(100),
     std::chrono::milliseconds(400),   std::chrono::milliseconds(6000),
     std::chrono::milliseconds(15000), std::chrono::milliseconds(40000)};
-// Events come every 30 ms once the first has come.
-constexpr std::chrono::milliseconds kNextEventPatience{2000};
+// After the first event, events arrive every 30 ms.
+constexpr std::chrono::milliseconds kNextEventTimeout{2000};
 
 }  // namespace
 
@@ -83,7 +83,7 @@
     progress.last_event = event->id;
     progress.breaks = 0;
     run.received_event = true;
-    run.stalls_at = MonotonicNow() + kNextEventPatience;
+    run.stalls_at = MonotonicNow() + kNextEventTimeout;
   }
   return true;
 }
@@ -91,7 +91,7 @@
 void BatchRunner::OnEnd(ItemRun& run, const http::EndEvent& event) {
   if (event.outcome == http::ClientOutcome::kNotSent) {
     scheduler_.MarkUnreachable(run.server, MonotonicNow());
-    return Requeue(run, kNotRunPause, "unreachable");
+    return Requeue(run, kNotExecutedPause, "unreachable");
   }
   if (event.outcome != http::ClientOutcome::kComplete) {
     return OnAttemptBroken(run, NameOf(event.outcome));
@@ -107,7 +107,7 @@
     } else {
       scheduler_.MarkFull(run.server, MonotonicNow());
     }
-    return Requeue(run, kNotRunPause, "not_executed");
+    return Requeue(run, kNotExecutedPause, "not_executed");
   }
   if (answer.request_id != run.item_id)
     return OnAttemptBroken(run, "foreign_answer");
@@ -131,15 +131,15 @@
   Requeue(run, kFailedPause, "server_error");
 }
 
-// Failure guarded against: an item that crashes each backend server that begins
-// to run it would take the fleet down. It shows as runs that break before any
-// event; after the third the pauses are long.
+// Guards against an item that crashes every backend server that starts to run
+// it, which would take the whole fleet down. Its runs break before the first
+// event; after the third, the pauses are long.
 void BatchRunner::OnAttemptBroken(ItemRun& run, std::string_view reason) {
   serving::ItemProgress& progress = Progress(run);
   if (!run.received_event) ++progress.breaks;
   const size_t step =
-      std::min<size_t>(progress.breaks, kBrokenPauses.size() - 1);
-  Requeue(run, kBrokenPauses[step], reason);
+      std::min<size_t>(progress.breaks, kBrokenAttemptPauses.size() - 1);
+  Requeue(run, kBrokenAttemptPauses[step], reason);
 }
 
 void BatchRunner::Finish(ItemRun& run, ItemState state) {
@@ -177,9 +177,9 @@
 
 void BatchRunner::RecordRun(const ItemRun& run, std::string_view end) {
   const serving::ServerRecord* record = scheduler_.Record(run.server);
-  const Duration time = MonotonicNow() - run.started_at;
+  const Duration duration = MonotonicNow() - run.started_at;
   timeline_.Record({.wall_clock_nanos = WallClockNanos(),
-                    .duration_nanos = ToNanos(time),
+                    .duration_nanos = ToNanos(duration),
                     .name = "item_run",
                     .request = run.item_id,
                     .args = {{"job", run.item.job},
--- a/libs/gateway/src/batch/batch_api.cc
+++ b/libs/gateway/src/batch/batch_api.cc
@@ -24,8 +24,8 @@
 
 constexpr std::chrono::milliseconds kEndTimeout{3500};
 constexpr std::chrono::milliseconds kReadTimeout{800};
-constexpr std::chrono::milliseconds kLongestWait{1000};
-// While the store is away, about as long as an outage's rest.
+constexpr std::chrono::milliseconds kMaxReadWait{1000};
+// While the store is unavailable; about the remaining time of a typical outage.
 constexpr std::chrono::milliseconds kOutageRetry{1000};
 constexpr std::chrono::milliseconds kQuotaRetry{1000};
 constexpr std::chrono::milliseconds kEndRetry{300};
@@ -39,22 +39,22 @@
   return tokens;
 }
 
-// A job of no workspace is open to all callers.
-bool IsOf(const serving::BatchJob& job, const CallerIdentity& caller) {
+// A job without a workspace is accessible to all callers.
+bool CanUse(const serving::BatchJob& job, const CallerIdentity& caller) {
   return job.workspace.empty() || job.workspace == caller.workspace;
 }
 
 }  // namespace
 
 BatchApi::BatchApi(StoreCalls& store, const RecordKinds& kinds,
-                   serving::JobTable& book, JobWriter& writer,
-                   std::string own_name, Callbacks ports)
+                   serving::JobTable& jobs, JobWriter& writer,
+                   std::string own_name, Callbacks callbacks)
     : store_(store),
       kinds_(kinds),
-      jobs_(book),
+      jobs_(jobs),
       writer_(writer),
       own_name_(std::move(own_name)),
-      callbacks_(std::move(ports)) {}
+      callbacks_(std::move(callbacks)) {}
 
 void BatchApi::Respond(ExchangeId caller, unsigned status, std::string body,
                        std::string_view type) {
@@ -78,21 +78,22 @@
                             const CallerIdentity& caller) const {
   std::string key = JobKey(caller.workspace, id);
   if (jobs_.Find(key)) return key;
-  // A job that was handed in before jobs had workspaces is open to all callers.
-  const serving::BatchJob* unowned = jobs_.Find(id);
-  return unowned && unowned->workspace.empty() ? std::string(id) : key;
+  // A job that was submitted without a workspace is accessible to all callers.
+  const serving::BatchJob* public_job = jobs_.Find(id);
+  return public_job && public_job->workspace.empty() ? std::string(id) : key;
 }
 
 void BatchApi::Submit(http::RequestEvent&& request, const serving::Route& route,
                       const CallerIdentity& identity) {
   const ExchangeId caller = request.exchange;
   if (request.method != "POST") return Respond(caller, 405);
-  // An id that was made here would not be the same when the job comes again.
+  // The job id must come from the caller: an id generated here would differ
+  // when the job is submitted again.
   if (identity.own_interface) return Respond(caller, 400);
   const std::string job = KeyOf(identity.request_id, identity);
   if (const serving::BatchJob* known = jobs_.Find(job)) {
-    // The same job again: its caller did not hear that it was accepted.
-    return Respond(caller, IsOf(*known, identity) ? 202 : 409);
+    // A resubmission: the caller did not receive the acceptance.
+    return Respond(caller, CanUse(*known, identity) ? 202 : 409);
   }
   const auto items = boost::leaf::try_handle_all(
       [&]() -> boost::leaf::result<std::vector<serving::BatchItem>> {
@@ -105,7 +106,8 @@
       },
       [] { return std::vector<serving::BatchItem>(); });
   if (items.empty()) return Respond(caller, 400);
-  // Written anew: the caller's text may hold keys in the items' headers.
+  // The submission is serialized again because the caller's text may contain
+  // API keys in the items' headers.
   writer_.Submit(
       {.job = job,
        .record =
@@ -136,7 +138,7 @@
                     const CallerIdentity& identity) {
   const std::string job = KeyOf(call.job, identity);
   const serving::BatchJob* known = jobs_.Find(job);
-  if (known && !IsOf(*known, identity)) return Respond(request.exchange, 404);
+  if (known && !CanUse(*known, identity)) return Respond(request.exchange, 404);
   if (call.operation == BatchOperation::kEnd) {
     return End(request.exchange, job, request.received_at + kEndTimeout);
   }
@@ -155,12 +157,12 @@
 
 void BatchApi::ServeRead(ExchangeId caller, const BatchCall& call,
                          const serving::BatchJob& job) {
-  const Duration wait = std::min<Duration>(call.wait, kLongestWait);
+  const Duration wait = std::min<Duration>(call.wait, kMaxReadWait);
   const PendingRead read{.caller = caller,
                          .position = call.position,
                          .respond_at = MonotonicNow() + wait};
   const bool has_result = job.results.size() > call.position;
-  // Nothing more will come: waiting would only delay the reader.
+  // No more results will follow, so waiting would only delay the reader.
   const bool final = !job.open() && call.position <= job.results.size();
   if (has_result || final || wait.count() == 0) return RespondRead(read, job);
   pending_reads_.emplace(job.id, read);
@@ -168,8 +170,8 @@
 
 void BatchApi::RespondRead(const PendingRead& read,
                            const serving::BatchJob& job) {
-  // The reader was given more than is known here, or may have been: another
-  // entry is ahead.
+  // The reader has received, or may have received, more results than this
+  // gateway knows: a peer has newer records.
   const bool nothing_new = read.position >= job.results.size() && job.open();
   if (read.position > job.results.size() ||
       (nothing_new && !callbacks_.has_all_records())) {
@@ -194,7 +196,9 @@
         if (answer.outcome == StoreOutcome::kNotFound) {
           return Respond(caller, 404);
         }
-        // Known to exist or not known at all: the watch brings it in a moment.
+        // If the job exists, the watch of the store delivers it shortly; if the
+        // read failed, its existence is unknown. In both cases the caller
+        // should retry.
         RespondRetry(caller, 503, std::chrono::milliseconds(200));
       });
 }
@@ -230,20 +234,20 @@
 }
 
 void BatchApi::Expire(TimePoint now) {
-  std::vector<std::pair<std::string, PendingRead>> over;
-  std::erase_if(pending_reads_, [&](const auto& entry) {
-    if (entry.second.respond_at > now) return false;
-    over.push_back(entry);
+  std::vector<std::pair<std::string, PendingRead>> expired;
+  std::erase_if(pending_reads_, [&](const auto& pending) {
+    if (pending.second.respond_at > now) return false;
+    expired.push_back(pending);
     return true;
   });
-  for (const auto& [id, read] : over) {
+  for (const auto& [id, read] : expired) {
     if (const serving::BatchJob* job = jobs_.Find(id)) RespondRead(read, *job);
   }
 }
 
 void BatchApi::OnCallerDisconnected(ExchangeId caller) {
-  std::erase_if(pending_reads_, [caller](const auto& entry) {
-    return entry.second.caller == caller;
+  std::erase_if(pending_reads_, [caller](const auto& pending) {
+    return pending.second.caller == caller;
   });
 }
 
--- a/libs/gateway/src/batch/batch_api.h
+++ b/libs/gateway/src/batch/batch_api.h
@@ -27,28 +27,28 @@
 class RecordKinds;
 class StoreCalls;
 
-// Callers' calls on batch jobs, in the form of the users' platform: submit,
-// read, end.
+// Batch job API in the format of the users' platform: submit a job, read its
+// results, end it.
 class BatchApi {
  public:
   struct Callbacks {
     std::function<void(http::ServerCommand&&)> to_caller;
-    // Whether all records that exist are known here.
+    // Whether this gateway has all records that exist.
     std::function<bool()> has_all_records;
   };
 
-  BatchApi(StoreCalls& store, const RecordKinds& kinds, serving::JobTable& book,
-           JobWriter& writer, std::string own_name, Callbacks ports);
+  BatchApi(StoreCalls& store, const RecordKinds& kinds, serving::JobTable& jobs,
+           JobWriter& writer, std::string own_name, Callbacks callbacks);
 
   void Submit(http::RequestEvent&& request, const serving::Route& route,
               const CallerIdentity& caller);
-  // A job is found by its own workspace only; to others it does not exist.
+  // A job is visible only to its own workspace; other workspaces get 404.
   void Call(http::RequestEvent&& request, const users_platform::BatchCall& call,
             const CallerIdentity& caller);
   void OnCallerDisconnected(ExchangeId caller);
-  // Records of the job came from the store or were committed here.
+  // Records of the job were read from the store or committed by this gateway.
   void OnProgress(const std::string& job);
-  // Ends reads whose time to wait is over.
+  // Responds to pending reads whose wait time has elapsed.
   void Expire(TimePoint now);
 
  private:
@@ -58,9 +58,9 @@
     TimePoint respond_at;
   };
   void OnSubmitted(ExchangeId caller, SubmitOutcome outcome);
-  // The key of the caller's job with that id, whether or not it exists.
+  // Key of the caller's job with that id, whether or not the job exists.
   std::string KeyOf(std::string_view id, const CallerIdentity& caller) const;
-  // `job`: its key.
+  // `job` is the job's key.
   void Serve(ExchangeId caller, const std::string& job,
              const users_platform::BatchCall& call);
   void ServeRead(ExchangeId caller, const users_platform::BatchCall& call,
@@ -68,7 +68,8 @@
   void ServeBody(ExchangeId caller, const users_platform::BatchCall& call,
                  const serving::BatchJob& job);
   void End(ExchangeId caller, const std::string& job, TimePoint give_up_at);
-  // Asks the store for a job that the book does not hold.
+  // Reads the store for a job that is not in the job table: responds 404 if it
+  // does not exist, otherwise 503 with Retry-After.
   void RespondUnknownJob(ExchangeId caller, const std::string& job);
   void RespondRead(const PendingRead& read, const serving::BatchJob& job);
   void Respond(ExchangeId caller, unsigned status, std::string body = {},
@@ -81,7 +82,7 @@
   JobWriter& writer_;
   std::string own_name_;
   Callbacks callbacks_;
-  std::multimap<std::string, PendingRead> pending_reads_;  // by job
+  std::multimap<std::string, PendingRead> pending_reads_;  // by job key
 };
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/batch/batch_runner.cc
+++ b/libs/gateway/src/batch/batch_runner.cc
@@ -15,38 +15,41 @@
 using serving::ItemRef;
 using serving::ItemState;
 
-// A displaced item waits this long: the burst that took its slot goes on, and
-// each resumption reads its prompt again (33 ms of a backend server's time).
-constexpr std::chrono::milliseconds kDisplacedPause{150};
-// Others hear of a start within some milliseconds.
+// A preempted item waits this long before it restarts: the burst that took its
+// slot usually continues, and each resumption processes the prompt again (33 ms
+// of backend server time).
+constexpr std::chrono::milliseconds kPreemptedPause{150};
+// Peers receive the report of a start within a few milliseconds.
 constexpr std::chrono::milliseconds kStartWindow{25};
-// First events of runs that need not wait come within 70 ms.
+// A run that is not queued at the backend server receives its first event
+// within 70 ms.
 constexpr std::chrono::milliseconds kQueuedAfter{90};
-// Time to the first event: a queue of online requests may be ahead, and the
-// backend server may read other prompts first.
-constexpr std::chrono::milliseconds kFirstEventPatience{4000};
-// A configuration is in force everywhere within two seconds, and within seven
-// while the store is disturbed.
-constexpr std::chrono::milliseconds kUnroutedPause{500};
-constexpr std::chrono::milliseconds kUnroutedPatience{4000};
-// An item's run on a busy backend server, at the median.
-constexpr std::chrono::milliseconds kUsualRun{4500};
-// Longest run of one item; a longest item takes about ten seconds.
-constexpr std::chrono::seconds kLongestRun{30};
+// Time to the first event: online requests may be queued ahead, and the backend
+// server may process other prompts first.
+constexpr std::chrono::milliseconds kFirstEventTimeout{4000};
+// A configuration is active on all gateways within two seconds, or within seven
+// seconds while the store is degraded.
+constexpr std::chrono::milliseconds kNoRoutePause{500};
+constexpr std::chrono::milliseconds kNoRouteTimeout{4000};
+// Median duration of an item's run on a busy backend server.
+constexpr std::chrono::milliseconds kTypicalRunDuration{4500};
+// Deadline of one run; the longest items take about ten seconds.
+constexpr std::chrono::seconds kMaxRunDuration{30};
 
 }  // namespace
 
 BatchRunner::BatchRunner(ServerConnections& connections,
-                         serving::SlotScheduler& board, serving::JobTable& book,
+                         serving::SlotScheduler& scheduler,
+                         serving::JobTable& jobs,
                          const serving::RouteTable& routes,
                          observe::Metrics& metrics, observe::Timeline& timeline,
-                         Callbacks ports)
-    : scheduler_(board),
-      jobs_(book),
+                         Callbacks callbacks)
+    : scheduler_(scheduler),
+      jobs_(jobs),
       routes_(routes),
       metrics_(metrics),
       timeline_(timeline),
-      callbacks_(std::move(ports)),
+      callbacks_(std::move(callbacks)),
       connections_(connections),
       sink_([this](http::ClientEvent&& event) {
         OnUpstream(std::move(event));
@@ -57,21 +60,22 @@
   EndStalled(now);
   GiveUpExpired(now);
   RequeueQueuedRuns(now);
-  // A policy that has come into force may leave batch less than it has.
+  // A newly active policy may allow batch traffic fewer slots than it uses.
   for (const BackendServerId server : scheduler_.ServersOverBatchLimit()) {
     PreemptItem(server);
   }
-  std::set<std::string, std::less<>> full;  // routes without room
-  const auto mine = [&](const serving::BatchJob& job) {
-    return !full.contains(job.route) && callbacks_.owns(job);
+  std::set<std::string, std::less<>> full_routes;  // routes without capacity
+  const auto is_startable = [&](const serving::BatchJob& job) {
+    return !full_routes.contains(job.route) && callbacks_.owns(job);
   };
-  const auto free = [&](const serving::BatchItem& item) {
+  const auto not_on_peer = [&](const serving::BatchItem& item) {
     return !callbacks_.runs_on_peer(Hash64(item.id));
   };
-  const TimePoint in_time = now + kUsualRun;
-  while (const auto item = jobs_.NextItem(now, in_time, mine, free)) {
+  const TimePoint expected_end = now + kTypicalRunDuration;
+  while (const auto item =
+             jobs_.NextItem(now, expected_end, is_startable, not_on_peer)) {
     if (Start(*item, now) == StartResult::kNoCapacity) {
-      full.insert(jobs_.Find(item->job)->route);
+      full_routes.insert(jobs_.Find(item->job)->route);
     }
   }
 }
@@ -99,7 +103,7 @@
               .server = server,
               .upstream = connections_.Open(sink_),
               .started_at = now,
-              .stalls_at = now + kFirstEventPatience};
+              .stalls_at = now + kFirstEventTimeout};
   const serving::ServerRecord& record = *scheduler_.Record(server);
   http::ClientRequest request;
   request.exchange = run.upstream;
@@ -110,10 +114,10 @@
       users_platform::ItemHeaders(work.headers, work.id, job.host,
                                   {.instance = record.instance,
                                    .workspace = job.workspace,
-                                   .budget = kLongestRun,
+                                   .budget = kMaxRunDuration,
                                    .after_event = progress.last_event});
   request.body = work.body;
-  request.deadline = now + kLongestRun;
+  request.deadline = now + kMaxRunDuration;
   request.stream_body = true;
   jobs_.SetRunning(item);
   scheduler_.OnRequestStarted(server, TrafficClass::kBatch);
@@ -128,17 +132,17 @@
     PreemptItem(server);
 }
 
-// Failure guarded against: an entry that has just started, or whose watch lags,
-// does not know the route that the job was accepted under; giving the item up
-// at once would list it as failed for good. Only a route that stays away under
-// a known configuration was removed.
+// Guards against items that fail permanently because this gateway has just
+// started, or its watch lags, and it does not yet know the route under which
+// the job was accepted. A route counts as removed only if it stays missing
+// under a known configuration.
 void BatchRunner::WaitForRoute(const ItemRef& item, TimePoint now) {
-  jobs_.SetWaiting(item, now + kUnroutedPause);
+  jobs_.SetWaiting(item, now + kNoRoutePause);
   if (routes_.version == 0) return;
   serving::BatchJob& job = *jobs_.Find(item.job);
   serving::ItemProgress& progress = job.progress[item.index];
   if (!progress.unrouted_since) progress.unrouted_since = now;
-  if (now - *progress.unrouted_since < kUnroutedPatience) return;
+  if (now - *progress.unrouted_since < kNoRouteTimeout) return;
   LogWarning("item_given_up", {{"job", item.job},
                                {"item", job.items[item.index].id},
                                {"cause", "no_route"},
@@ -162,10 +166,10 @@
   return true;
 }
 
-// Failure guarded against: entries that took the same room leave more items
-// than slots at a server. Those that wait there hold back the online requests
-// behind them, for seconds; it shows as an excess and as runs without any
-// event.
+// Guards against gateways that take the same free slots at the same time and so
+// place more items on a server than it has slots. The queued items delay the
+// online requests behind them for seconds. Such a server is oversubscribed and
+// has runs that have received no event.
 void BatchRunner::RequeueQueuedRuns(TimePoint now) {
   std::map<BackendServerId, ExchangeId> queued;
   for (const auto& [upstream, run] : runs_) {
@@ -175,7 +179,7 @@
   }
   for (const auto& [server, upstream] : queued) {
     connections_.Cancel(upstream);
-    Requeue(runs_.at(upstream), kDisplacedPause, "queued");
+    Requeue(runs_.at(upstream), kPreemptedPause, "queued");
   }
 }
 
@@ -193,14 +197,14 @@
 }
 
 void BatchRunner::EndUnwanted() {
-  std::vector<ExchangeId> unwanted;
+  std::vector<ExchangeId> unneeded;
   for (const auto& [upstream, run] : runs_) {
     const serving::BatchJob* job = jobs_.Find(run.item.job);
-    const bool listed = job && job->progress[run.item.index].phase ==
-                                   serving::ItemPhase::kCommitted;
-    if (!job || job->ended || listed) unwanted.push_back(upstream);
+    const bool committed = job && job->progress[run.item.index].phase ==
+                                      serving::ItemPhase::kCommitted;
+    if (!job || job->ended || committed) unneeded.push_back(upstream);
   }
-  for (const ExchangeId upstream : unwanted) {
+  for (const ExchangeId upstream : unneeded) {
     connections_.Cancel(upstream);
     RemoveRun(runs_.at(upstream));
   }
@@ -221,27 +225,27 @@
 }
 
 void BatchRunner::PreemptItem(BackendServerId server) {
-  ItemRun* chosen = nullptr;
-  TimePoint latest{};
+  ItemRun* candidate = nullptr;
+  TimePoint latest_due{};
   for (auto& [upstream, run] : runs_) {
     if (run.server != server) continue;
     const serving::BatchJob* job = jobs_.Find(run.item.job);
     const TimePoint due = job ? job->due_at : kNever;
-    if (chosen && due <= latest) continue;
-    chosen = &run;
-    latest = due;
+    if (candidate && due <= latest_due) continue;
+    candidate = &run;
+    latest_due = due;
   }
-  if (!chosen) return;
-  connections_.Cancel(chosen->upstream);
-  Requeue(*chosen, kDisplacedPause, "displaced");
+  if (!candidate) return;
+  connections_.Cancel(candidate->upstream);
+  Requeue(*candidate, kPreemptedPause, "displaced");
 }
 
 void BatchRunner::OnServerRestarted(BackendServerId former) {
-  std::vector<ExchangeId> cut;
+  std::vector<ExchangeId> interrupted;
   for (const auto& [upstream, run] : runs_) {
-    if (run.server == former) cut.push_back(upstream);
+    if (run.server == former) interrupted.push_back(upstream);
   }
-  for (const ExchangeId upstream : cut) {
+  for (const ExchangeId upstream : interrupted) {
     connections_.Cancel(upstream);
     OnAttemptBroken(runs_.at(upstream), "server_restarted");
   }
@@ -251,7 +255,7 @@
   while (!runs_.empty()) {
     ItemRun& run = runs_.begin()->second;
     connections_.Cancel(run.upstream);
-    Requeue(run, kDisplacedPause, "stopping");
+    Requeue(run, kPreemptedPause, "stopping");
   }
 }
 
--- a/libs/gateway/src/batch/batch_runner.h
+++ b/libs/gateway/src/batch/batch_runner.h
@@ -23,39 +23,41 @@
 
 namespace knapweedstile::gateway {
 
-// Runs the items of batch jobs on slots that online requests leave free.
+// Runs the items of batch jobs on slots that online requests do not use.
 class BatchRunner {
  public:
   struct Callbacks {
-    // Whether this entry starts items of the job.
+    // Whether this gateway starts items of the job.
     std::function<bool(const serving::BatchJob&)> owns;
-    // Entries that take batch work, this one included.
+    // Number of gateways that run batch items, including this one.
     std::function<size_t()> gateway_count;
-    // Whether another entry runs the item now.
+    // Whether a peer is running the item now.
     std::function<bool(uint64_t item_hash)> runs_on_peer;
     std::function<void(const std::string& job)> item_finished;
     std::function<void()> usage_changed;
-    // Servers that the operators' policies keep the route's items from.
+    // Backend servers that operators' policies exclude for items of the route.
     std::function<std::vector<BackendServerId>(const serving::Route& route,
                                                const std::string& service)>
         excluded_servers;
   };
 
-  BatchRunner(ServerConnections& connections, serving::SlotScheduler& board,
-              serving::JobTable& book, const serving::RouteTable& routes,
+  BatchRunner(ServerConnections& connections, serving::SlotScheduler& scheduler,
+              serving::JobTable& jobs, const serving::RouteTable& routes,
               observe::Metrics& metrics, observe::Timeline& timeline,
-              Callbacks ports);
+              Callbacks callbacks);
 
-  // Starts what has room, and ends runs that have stalled or are not wanted
-  // any more.
+  // Starts items while there is capacity, and ends runs that have stalled or
+  // are no longer needed.
   void Run(TimePoint now);
-  // Takes items back behind which online requests wait; every 20 ms.
+  // Preempts items that block waiting online requests. Called every 20 ms.
   void PreemptBlockingItems(TimePoint now);
-  // Gives up the slot of one item on the backend server.
+  // Preempts the running item with the latest due time on the backend server;
+  // its output so far is kept.
   void PreemptItem(BackendServerId server);
-  // The server's process is gone with all that it ran.
+  // The backend server's process has terminated, and all its runs with it.
   void OnServerRestarted(BackendServerId former);
-  // Ends all runs, for others to go on with; what they produced is kept.
+  // Ends all runs so that peers can resume the items; the output so far is
+  // kept.
   void EndAll();
 
   // Hashes of the running items' ids.
@@ -71,14 +73,15 @@
     BackendServerId server;
     ExchangeId upstream;
     TimePoint started_at;
-    TimePoint stalls_at;  // without an event until then, the run has stalled
+    TimePoint stalls_at;  // the run has stalled without an event by then
     unsigned status = 0;
     http::HeaderList head;
     bool received_event = false;
     serving::EventStreamReader reader;
   };
   enum class StartResult { kStarted, kNoCapacity };
-  // Items that may still be started in the present window, by service.
+  // Number of items that may still be started in the current window, by
+  // service.
   using Budget = std::map<std::string, uint32_t, std::less<>>;
 
   StartResult Start(const serving::ItemRef& item, TimePoint now);
@@ -112,7 +115,7 @@
   TimePoint window_ends_at_{};
   std::unordered_map<ExchangeId, ItemRun> runs_;
   ServerConnections& connections_;
-  ServerConnections::EventSink sink_;  // of events of this object's requests
+  ServerConnections::EventSink sink_;  // receives this object's events
 };
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/batch/job_call.cc
+++ b/libs/gateway/src/batch/job_call.cc
@@ -9,15 +9,16 @@
 namespace knapweedstile::gateway {
 namespace {
 
-// The key, and fields that concern one connection only.
-constexpr std::array<std::string_view, 6> kNotPassedOn = {
+// The API key, and headers that apply to a single connection.
+constexpr std::array<std::string_view, 6> kNotForwarded = {
     "Authorization",     "Connection", "Content-Length",
     "Transfer-Encoding", "Keep-Alive", "Host"};
 
-bool IsPassedOn(std::string_view name) {
-  return std::none_of(
-      kNotPassedOn.begin(), kNotPassedOn.end(),
-      [name](const auto& kept) { return boost::beast::iequals(name, kept); });
+bool IsForwarded(std::string_view name) {
+  return std::none_of(kNotForwarded.begin(), kNotForwarded.end(),
+                      [name](const auto& excluded) {
+                        return boost::beast::iequals(name, excluded);
+                      });
 }
 
 }  // namespace
@@ -28,10 +29,10 @@
   message.set_method(request.method);
   message.set_target(request.target);
   for (const auto& [name, value] : request.headers.fields()) {
-    if (!IsPassedOn(name)) continue;
-    wire::HeaderMessage& passed = *message.add_headers();
-    passed.set_name(name);
-    passed.set_value(value);
+    if (!IsForwarded(name)) continue;
+    wire::HeaderMessage& forwarded = *message.add_headers();
+    forwarded.set_name(name);
+    forwarded.set_value(value);
   }
   message.set_body(request.body);
   message.set_host(caller.host);
--- a/libs/gateway/src/batch/job_call.h
+++ b/libs/gateway/src/batch/job_call.h
@@ -10,16 +10,17 @@
 
 namespace knapweedstile::gateway {
 
-// A call on a batch job and who makes it, as the gateway that took it from its
-// caller passes it on. The caller's key stays behind: it has been checked.
+// A request for a batch job and the identity of its caller, as one gateway
+// forwards it to another. The caller's API key is not forwarded: the gateway
+// that received the request has already checked it.
 struct JobCall {
-  http::RequestEvent request;  // without an exchange
+  http::RequestEvent request;  // has no exchange id
   CallerIdentity caller;
 };
 
 std::string EncodeJobCall(const http::RequestEvent& request,
                           const CallerIdentity& caller);
-// Nothing when the bytes are not a call.
+// Returns nullopt if the bytes are not a valid call.
 std::optional<JobCall> DecodeJobCall(std::string_view bytes);
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/batch/job_forwarder.cc
+++ b/libs/gateway/src/batch/job_forwarder.cc
@@ -18,31 +18,32 @@
 constexpr char kTarget[] = "/job-call";
 constexpr unsigned kTooManyRequests = 429;
 constexpr unsigned kUnavailable = 503;
-constexpr unsigned kUnknown = 504;
-// Callers wait four seconds for a submission's answer.
-constexpr std::chrono::milliseconds kLongestCall{3800};
-// A read may wait a second at its holder; a write takes as long at a slow
-// store. One holder that stands still must leave time for the next.
-constexpr std::chrono::milliseconds kLongestTry{1900};
-constexpr std::chrono::milliseconds kUnreachableFor{2000};
+constexpr unsigned kGatewayTimeout = 504;
+// Callers wait four seconds for the response to a submission.
+constexpr std::chrono::milliseconds kMaxCallDuration{3800};
+// A read may wait one second at the holder, and a write takes as long if the
+// store is slow. A stalled holder must leave enough time to try the next one.
+constexpr std::chrono::milliseconds kMaxTryDuration{1900};
+constexpr std::chrono::milliseconds kUnreachableDuration{2000};
 constexpr std::chrono::milliseconds kRetryAfter{300};
-constexpr size_t kMostTries = 4;
+constexpr size_t kMaxTries = 4;
 
-// Set anew by this gateway's own server.
-constexpr std::array<std::string_view, 5> kOfConnection = {
+// Headers that this gateway's own server sets.
+constexpr std::array<std::string_view, 5> kConnectionHeaders = {
     "Connection", "Content-Length", "Transfer-Encoding", "Keep-Alive", "Date"};
 
-bool IsOfConnection(std::string_view name) {
-  return std::any_of(
-      kOfConnection.begin(), kOfConnection.end(),
-      [name](const auto& own) { return boost::beast::iequals(name, own); });
+bool IsConnectionHeader(std::string_view name) {
+  return std::any_of(kConnectionHeaders.begin(), kConnectionHeaders.end(),
+                     [name](const auto& excluded) {
+                       return boost::beast::iequals(name, excluded);
+                     });
 }
 
 }  // namespace
 
 JobForwarder::JobForwarder(boost::asio::io_context& io,
-                           observe::Metrics& metrics, Callbacks ports)
-    : callbacks_(std::move(ports)),
+                           observe::Metrics& metrics, Callbacks callbacks)
+    : callbacks_(std::move(callbacks)),
       metrics_(metrics),
       client_(io, PeerClientSettings(), [this](http::ClientEvent&& event) {
         OnEvent(std::move(event));
@@ -68,11 +69,11 @@
             .job = job,
             .message = EncodeJobCall(request, caller),
             .holders = callbacks_.holders(job),
-            .give_up_at = now + kLongestCall};
+            .give_up_at = now + kMaxCallDuration};
   std::stable_partition(
       call.holders.begin(), call.holders.end(),
       [&](const std::string& address) { return !IsUnreachable(address, now); });
-  if (call.holders.size() > kMostTries) call.holders.resize(kMostTries);
+  if (call.holders.size() > kMaxTries) call.holders.resize(kMaxTries);
   std::reverse(call.holders.begin(), call.holders.end());
   TryNext(std::move(call));
 }
@@ -89,7 +90,7 @@
       .method = "POST",
       .target = kTarget,
       .body = call.message,
-      .deadline = std::min(call.give_up_at, now + kLongestTry)};
+      .deadline = std::min(call.give_up_at, now + kMaxTryDuration)};
   request.headers.Add("Host", request.address);
   calls_.emplace(exchange, std::move(call));
   client_.Send(std::move(request));
@@ -111,7 +112,8 @@
            {"holders_left", call.holders.size()},
            {"reason", end->message}});
   if (!answered) {
-    unreachable_until_[call.current_holder] = MonotonicNow() + kUnreachableFor;
+    unreachable_until_[call.current_holder] =
+        MonotonicNow() + kUnreachableDuration;
     if (end->outcome != http::ClientOutcome::kNotSent)
       call.maybe_accepted = true;
   }
@@ -119,16 +121,16 @@
 }
 
 void JobForwarder::Respond(const Call& call, http::EndEvent&& answer) {
-  // A holder before this one may have taken the job that this one refuses.
-  const bool refused =
+  // An earlier holder may have accepted the job that this one rejects.
+  const bool rejected =
       answer.status == kUnavailable || answer.status == kTooManyRequests;
-  if (refused && call.maybe_accepted) return GiveUp(call);
+  if (rejected && call.maybe_accepted) return GiveUp(call);
   metrics_.Add("knap_job_calls_forwarded_total", {"answered"});
   http::RespondCommand command{.exchange = call.caller,
                                .status = answer.status,
                                .body = std::move(answer.body)};
   for (const auto& [name, value] : answer.headers.fields()) {
-    if (!IsOfConnection(name)) command.headers.Add(name, value);
+    if (!IsConnectionHeader(name)) command.headers.Add(name, value);
   }
   callbacks_.to_caller(std::move(command));
 }
@@ -139,7 +141,7 @@
              {{"job", call.job}, {"maybe_taken", call.maybe_accepted}});
   http::RespondCommand command{
       .exchange = call.caller,
-      .status = call.maybe_accepted ? kUnknown : kUnavailable};
+      .status = call.maybe_accepted ? kGatewayTimeout : kUnavailable};
   command.headers.Add("Retry-After",
                       fmt::format("{:.3f}", ToSeconds(kRetryAfter)));
   callbacks_.to_caller(std::move(command));
--- a/libs/gateway/src/batch/job_forwarder.h
+++ b/libs/gateway/src/batch/job_forwarder.h
@@ -19,25 +19,27 @@
 
 namespace knapweedstile::gateway {
 
-// Passes callers' calls on batch jobs to the gateways that hold the job, and
-// the answers back.
+// Forwards callers' requests for batch jobs to the gateways that hold the job,
+// and their responses back to the callers.
 //
-// Every call may be repeated: a job's id makes a second submission harmless. So
-// a holder that cannot be reached, or does not answer, is followed by the next.
-// The caller is told 503 only when no holder can have taken the call.
+// Every request may be repeated: the job's id makes a second submission
+// idempotent. If a holder is unreachable or does not respond, the next one is
+// tried. The caller gets 503 only if no holder can have accepted the request,
+// and otherwise 504.
 class JobForwarder {
  public:
   struct Callbacks {
     std::function<void(http::ServerCommand&&)> to_caller;
-    // Addresses of the gateways that hold the job, in the order to be tried.
+    // Addresses of the gateways that hold the job, in the order in which to try
+    // them.
     std::function<std::vector<std::string>(std::string_view job)> holders;
   };
 
   JobForwarder(boost::asio::io_context& io, observe::Metrics& metrics,
-               Callbacks ports);
+               Callbacks callbacks);
 
   static bool IsTarget(std::string_view target);
-  // Status of a gateway that does not hold the job.
+  // HTTP status that a gateway returns if it does not hold the job.
   static constexpr unsigned kMisdirected = 421;
 
   void Forward(const http::RequestEvent& request, const std::string& job,
@@ -49,8 +51,8 @@
     ExchangeId caller;
     std::string job;
     std::string message;
-    std::string current_holder;        // the holder that is being asked
-    std::vector<std::string> holders;  // the next one to be tried is the last
+    std::string current_holder;        // address of the holder being tried
+    std::vector<std::string> holders;  // not yet tried, in reverse order
     bool maybe_accepted = false;
     TimePoint give_up_at;
   };
@@ -65,7 +67,7 @@
   observe::Metrics& metrics_;
   uint64_t last_exchange_ = 0;
   std::unordered_map<ExchangeId, Call> calls_;
-  // Holders that could not be reached are tried last until then.
+  // Until that time, holders that were unreachable are tried last.
   std::unordered_map<std::string, TimePoint> unreachable_until_;
   http::Client client_;
 };
--- a/libs/gateway/src/batch/job_ownership.cc
+++ b/libs/gateway/src/batch/job_ownership.cc
@@ -11,17 +11,19 @@
 namespace knapweedstile::gateway {
 namespace {
 
-// After a start, for the other entries' usage to arrive.
-constexpr std::chrono::milliseconds kLearnUsage{600};
-// Before jobs of other entries are taken over, those have time to be heard.
-constexpr std::chrono::milliseconds kTakeoverAfterStart{1600};
+// After a start, the time for peers' usage reports to arrive.
+constexpr std::chrono::milliseconds kUsageReportDelay{600};
+// After a start, the time for reports of live peers to arrive before their jobs
+// are taken over.
+constexpr std::chrono::milliseconds kTakeoverDelay{1600};
 
-// By rendezvous hashing: the same for all who see the same entries.
-std::string HighestOf(const std::string& job,
-                      const std::vector<std::string>& entries) {
-  if (entries.empty()) return {};
+// Rendezvous hashing: gives the same result on all gateways that see the same
+// set of gateways.
+std::string HighestRendezvousHash(const std::string& job,
+                                  const std::vector<std::string>& gateways) {
+  if (gateways.empty()) return {};
   const uint64_t seed = Hash64(job);
-  return *std::max_element(entries.begin(), entries.end(),
+  return *std::max_element(gateways.begin(), gateways.end(),
                            [seed](const std::string& a, const std::string& b) {
                              return Hash64(a, seed) < Hash64(b, seed);
                            });
@@ -30,18 +32,18 @@
 }  // namespace
 
 JobOwnership::JobOwnership(std::string own_name, TimePoint started_at,
-                           const PeerLink& peers, const serving::JobTable& book)
+                           const PeerLink& peers, const serving::JobTable& jobs)
     : own_name_(std::move(own_name)),
       started_at_(started_at),
       peers_(peers),
-      jobs_(book) {}
+      jobs_(jobs) {}
 
 bool JobOwnership::Owns(const serving::BatchJob& job, TimePoint now) const {
   if (stopping_ || !end_records_loaded_) return false;
-  // Until the others have told what they use, every slot looks free.
-  if (now < started_at_ + kLearnUsage) return false;
+  // Until peers have reported their usage, every slot appears free.
+  if (now < started_at_ + kUsageReportDelay) return false;
   if (job.creator == own_name_) return true;
-  if (now < started_at_ + kTakeoverAfterStart) return false;
+  if (now < started_at_ + kTakeoverDelay) return false;
   if (peers_.IsActivePeer(job.creator)) return false;
   return RendezvousOwner(job.id) == own_name_;
 }
@@ -51,18 +53,19 @@
 }
 
 std::string JobOwnership::RendezvousOwner(const std::string& job) const {
-  std::vector<std::string> entries = peers_.ActivePeers();
-  entries.push_back(own_name_);
-  return HighestOf(job, entries);
+  std::vector<std::string> gateways = peers_.ActivePeers();
+  gateways.push_back(own_name_);
+  return HighestRendezvousHash(job, gateways);
 }
 
 std::string JobOwnership::SuccessorOf(const std::string& job) const {
-  const std::vector<std::string> entries = peers_.ActivePeers();
+  const std::vector<std::string> gateways = peers_.ActivePeers();
   const serving::BatchJob* known = jobs_.Find(job);
-  const bool creator_lives =
-      known && std::find(entries.begin(), entries.end(), known->creator) !=
-                   entries.end();
-  return creator_lives ? known->creator : HighestOf(job, entries);
+  const bool creator_is_live =
+      known && std::find(gateways.begin(), gateways.end(), known->creator) !=
+                   gateways.end();
+  return creator_is_live ? known->creator
+                         : HighestRendezvousHash(job, gateways);
 }
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/batch/job_ownership.h
+++ b/libs/gateway/src/batch/job_ownership.h
@@ -14,31 +14,35 @@
 
 class PeerLink;
 
-// Which entry is in charge of a batch job, as this one sees it: the one that
-// accepted it while it lives; then, by a hash that all agree on, one of those
-// that live. Two views may differ for a moment: an item may then run twice, but
-// its result is committed once.
+// Determines which gateway owns a batch job from this gateway's view of its
+// peers: the gateway that accepted the job while it is live, otherwise one of
+// the live gateways, chosen by rendezvous hashing. Views may differ briefly; an
+// item may then run twice, but its result is committed only once.
 class JobOwnership {
  public:
   JobOwnership(std::string own_name, TimePoint started_at,
-               const PeerLink& peers, const serving::JobTable& book);
+               const PeerLink& peers, const serving::JobTable& jobs);
 
   // Commands.
-  // Whether the ends of jobs are known as they are in the store.
+  // Sets whether this gateway has all end records of jobs that are in the
+  // store. It owns no jobs until then.
   void SetEndRecordsLoaded(bool knows) noexcept { end_records_loaded_ = knows; }
-  // This entry takes charge of nothing from now on.
+  // From now on this gateway owns no jobs.
   void Stop() noexcept { stopping_ = true; }
 
-  // Queries. Whether this entry starts items of the job.
+  // Queries.
+  // Whether this gateway starts items of the job.
   bool Owns(const serving::BatchJob& job, TimePoint now) const;
-  // Whether this entry deletes the records of a job that has expired.
+  // Whether this gateway is the one that deletes the job's records when it has
+  // expired.
   bool CollectsRecordsOf(const std::string& job) const;
-  // The other entry that runs the job once this one is gone: the one that
-  // accepted it, if it lives; empty without others.
+  // Name of the peer that runs the job after this gateway stops: the gateway
+  // that accepted it, if live, otherwise one chosen by rendezvous hashing.
+  // Empty if there are no peers.
   std::string SuccessorOf(const std::string& job) const;
 
  private:
-  // One of the live entries, by a hash that all agree on.
+  // One of the live gateways, chosen by rendezvous hashing.
   std::string RendezvousOwner(const std::string& job) const;
 
   std::string own_name_;
--- a/libs/gateway/src/batch/job_records.cc
+++ b/libs/gateway/src/batch/job_records.cc
@@ -17,8 +17,9 @@
 using serving::ItemResult;
 using serving::ItemState;
 
-// A wall clock that jumped makes a job look this much too old at most.
-constexpr int64_t kMostAgeObjectives = 3;
+// Limits the apparent age of a job, in completion objectives, in case a wall
+// clock has jumped.
+constexpr int64_t kMaxAgeInObjectives = 3;
 
 constexpr std::string_view kJobPrefix = "job.";
 constexpr std::string_view kSegmentPrefix = "segment.";
@@ -42,8 +43,9 @@
   return std::move(parsed.get_object());
 }
 
-// Of a record that was accepted once, whatever its caller's limit was.
-constexpr size_t kMostItems = 10000;
+// Limit for stored records. They were checked against the caller's limit when
+// they were accepted.
+constexpr size_t kMaxItems = 10000;
 
 }  // namespace
 
@@ -110,9 +112,9 @@
 Result<serving::BatchJob> DecodeJob(std::string_view id, std::string_view value,
                                     TimePoint now, int64_t wall_millis) {
   const auto object = ParseObject(value);
-  if (!object) return Fail(ErrorCode::kInvalid, "the job is not an object");
+  if (!object) return Fail(ErrorCode::kInvalid, "job is not a JSON object");
   BOOST_LEAF_AUTO(items, users_platform::ParseSubmission(
-                             Text(*object, "submission"), kMostItems));
+                             Text(*object, "submission"), kMaxItems));
   serving::BatchJob job;
   job.id = id;
   job.creator = Text(*object, "creator");
@@ -124,7 +126,7 @@
   const int64_t completion = Number(*object, "completion_ms");
   const int64_t age =
       std::clamp<int64_t>(wall_millis - Number(*object, "accepted_ms"), 0,
-                          kMostAgeObjectives * completion);
+                          kMaxAgeInObjectives * completion);
   job.due_at = now + std::chrono::milliseconds(completion - age);
   job.expires_at = now + std::chrono::milliseconds(Number(*object, "ttl_ms"));
   return job;
@@ -144,14 +146,14 @@
   const auto object = ParseObject(value);
   const json::value* field = object ? object->if_contains("results") : nullptr;
   if (!field || !field->is_array()) {
-    return Fail(ErrorCode::kInvalid, "the segment has no results");
+    return Fail(ErrorCode::kInvalid, "the segment has no \"results\" array");
   }
   std::vector<ItemResult> results;
-  for (const json::value& entry : field->get_array()) {
-    if (!entry.is_object()) continue;
-    const json::object& result = entry.get_object();
+  for (const json::value& element : field->get_array()) {
+    if (!element.is_object()) continue;
+    const json::object& result = element.get_object();
     const auto state = ParseEnum<ItemState>(Text(result, "state"));
-    if (!state) return Fail(ErrorCode::kInvalid, "a result has no known state");
+    if (!state) return Fail(ErrorCode::kInvalid, "a result has no valid state");
     results.push_back({Text(result, "item"), *state, Text(result, "output")});
   }
   return results;
--- a/libs/gateway/src/batch/job_records.h
+++ b/libs/gateway/src/batch/job_records.h
@@ -17,9 +17,9 @@
 
 // Records of batch jobs in the platform's store (kinds: record_kinds.h):
 //
-//   job.ID          an accepted job, written before its acceptance is answered
-//   segment.ID.N    results of a job; created once, so a position never changes
-//   end.ID          its caller wants no more of it
+//   job.ID          an accepted job; written before the response is sent
+//   segment.ID.N    results of a job; created once, so positions never change
+//   end.ID          the caller has ended the job
 inline constexpr char kRecordKind[] = "knapweedstile";
 
 enum class RecordType { kJob, kSegment, kEnd, kUnknown };
@@ -30,33 +30,35 @@
   uint32_t segment = 0;  // kSegment
 };
 RecordName ParseRecordName(std::string_view name);
-// What a job is known by inside: the caller's id, and the workspace that it
-// belongs to. Two workspaces may use the same id; each finds its own job only.
+// Internal key of a job, made of its workspace and the caller's id. Two
+// workspaces may use the same id; each finds only its own job.
 std::string JobKey(std::string_view workspace, std::string_view id);
 std::string JobName(std::string_view job);
 std::string SegmentName(std::string_view job, uint32_t number);
 std::string EndName(std::string_view job);
 
-// An accepted job: its submission as the caller sent it and where it came in.
+// An accepted job: its submission, and the gateway, host and route that
+// received it.
 struct JobRecord {
   std::string creator;
   std::string host;
   std::string route;
-  std::string workspace;  // that it was handed in under; empty: none
-  // When it came, on the wall clock of its entry. Clocks differ and jump, so
-  // this only orders jobs; nothing is given up by it.
+  std::string workspace;  // of the submission; empty: none
+  // Acceptance time by the wall clock of the gateway that accepted the job.
+  // Clocks differ and jump, so it only affects the order of jobs; no item
+  // expires because of it.
   int64_t accepted_wall_millis = 0;
-  int64_t completion_millis = 0;  // objective, from the acceptance on
+  int64_t completion_millis = 0;  // objective, from the acceptance
   int64_t ttl_millis = 0;
   std::string submission;
 };
-// The record of a job that arrives now at the entry `creator`.
+// Returns the record of a job that arrives now at the gateway `creator`.
 JobRecord NewJobRecord(std::string_view creator, std::string_view host,
                        const serving::Route& route, std::string_view workspace,
                        std::string&& submission);
 std::string EncodeJob(const JobRecord& record);
-// The job as it is known from `now` (`wall_millis` on the wall clock) on;
-// kInvalid when it is not one.
+// Decodes a job that this gateway receives at `now`, which is `wall_millis` on
+// the wall clock. Fails with kInvalid if `value` is not a valid job record.
 Result<serving::BatchJob> DecodeJob(std::string_view id, std::string_view value,
                                     TimePoint now, int64_t wall_millis);
 
--- a/libs/gateway/src/batch/job_writer.cc
+++ b/libs/gateway/src/batch/job_writer.cc
@@ -16,33 +16,35 @@
 using platform::StoreAnswer;
 using platform::StoreOutcome;
 
-// A slow store takes a quarter of a second; an answer that takes longer than
-// this is taken for lost, and the record is read back.
+// A slow store responds within a quarter of a second. A response that takes
+// longer than this timeout counts as lost, and the record is read back.
 constexpr std::chrono::milliseconds kWriteTimeout{700};
-// Callers wait four seconds; after that nobody hears the answer.
+// Callers wait four seconds for the response.
 constexpr std::chrono::milliseconds kSubmitTimeout{3000};
 constexpr std::chrono::milliseconds kReadTimeout{800};
-// Others acknowledge records within some 20 ms. A job that would go beyond this
-// entry's share waits for that, shorter than callers expect their answer in.
-constexpr std::chrono::milliseconds kLongestHold{250};
-// Every entry reads the store at least this often (the pause of the records'
-// mirrors, and the time of a read).
-constexpr std::chrono::seconds kKnownEverywhere{65};
-constexpr uint32_t kMostRefusedWrites = 3;
-// Largest record: the store's limit on a value, with room for escapes.
+// Peers acknowledge records within about 20 ms. A job that would exceed this
+// gateway's share of the quota waits for that, but not as long as callers wait
+// for their response.
+constexpr std::chrono::milliseconds kMaxDeferral{250};
+// Every gateway reads the store at least this often: the pause between reads of
+// the record mirrors, plus the duration of a read.
+constexpr std::chrono::seconds kMaxStoreReadInterval{65};
+constexpr uint32_t kMaxRejectedWrites = 3;
+// Below the store's limit on the size of a value, which leaves space for
+// escapes.
 constexpr size_t kMaxRecordBytes = 1000000;
 constexpr int64_t kNanosPerMilli = 1000000;
 
 }  // namespace
 
 JobWriter::JobWriter(StoreCalls& store, const RecordKinds& kinds,
-                     serving::JobTable& book, observe::Metrics& metrics,
-                     Callbacks ports)
+                     serving::JobTable& jobs, observe::Metrics& metrics,
+                     Callbacks callbacks)
     : store_(store),
       kinds_(kinds),
-      jobs_(book),
+      jobs_(jobs),
       metrics_(metrics),
-      callbacks_(std::move(ports)) {}
+      callbacks_(std::move(callbacks)) {}
 
 serving::QuotaVerdict JobWriter::CheckQuota(const Request& request) const {
   if (request.max_waiting_tokens == 0) return serving::QuotaVerdict::kAccept;
@@ -56,11 +58,12 @@
   const auto verdict =
       quota_.Check(scope, waiting, request.tokens, request.max_waiting_tokens,
                    callbacks_.gateway_count());
-  // Failure guarded against: an entry that wakes from a pause, or was cut off,
-  // knows less than what waits, and would give away what others have taken. An
-  // entry that nobody hears may take jobs as well; that matters only in the
-  // upper half of the limit, since two sides that do not hear each other reach
-  // the limit together there at the earliest.
+  // Guards against a gateway that resumes after a pause, or was disconnected,
+  // and does not know all waiting jobs: it would accept jobs for quota that its
+  // peers have already used. An unreachable peer may accept jobs as well. That
+  // matters only in the upper half of the limit, because two partitions that
+  // cannot reach each other exceed the limit together only if one of them uses
+  // more than half of it.
   const bool upper_half =
       2 * (waiting + request.tokens) > request.max_waiting_tokens;
   const bool known = upper_half ? callbacks_.has_all_records()
@@ -85,14 +88,15 @@
 }
 
 void JobWriter::Submit(Request&& request, SubmitCallback done) {
-  // The same job again: its caller did not hear that it was accepted.
+  // A resubmission: the caller did not receive the acceptance.
   if (jobs_.Find(request.job)) return done(SubmitOutcome::kAccepted);
   if (EncodeJob(request.record).size() > kMaxRecordBytes) {
     RecordRejection(request, SubmitOutcome::kTooLarge, "record_bytes");
     return done(SubmitOutcome::kTooLarge);
   }
   if (request.max_waiting_tokens != 0) {
-    // Cells do not know each other's jobs: each keeps to its part of the limit.
+    // Cells do not know each other's jobs, so each cell uses only its share of
+    // the limit.
     const auto limit = static_cast<double>(request.max_waiting_tokens);
     request.max_waiting_tokens = std::max<uint64_t>(
         1, static_cast<uint64_t>(limit * callbacks_.shard_share()));
@@ -105,7 +109,7 @@
     case serving::QuotaVerdict::kAccept:
       return StartSubmission(std::move(request), std::move(done));
     case serving::QuotaVerdict::kAwaitPeers: {
-      const TimePoint give_up_at = MonotonicNow() + kLongestHold;
+      const TimePoint give_up_at = MonotonicNow() + kMaxDeferral;
       return deferred_.push_back(
           {std::move(request), std::move(done), give_up_at});
     }
@@ -119,17 +123,17 @@
   quota_.OnAcknowledged(number, now);
   for (auto waiting = std::exchange(deferred_, {}); !waiting.empty();
        waiting.pop_front()) {
-    DeferredSubmission& held = waiting.front();
-    const auto verdict = CheckQuota(held.request);
+    DeferredSubmission& deferred = waiting.front();
+    const auto verdict = CheckQuota(deferred.request);
     if (verdict == serving::QuotaVerdict::kAccept) {
-      StartSubmission(std::move(held.request), std::move(held.done));
+      StartSubmission(std::move(deferred.request), std::move(deferred.done));
     } else if (verdict == serving::QuotaVerdict::kAwaitPeers &&
-               now < held.give_up_at) {
-      deferred_.push_back(std::move(held));
+               now < deferred.give_up_at) {
+      deferred_.push_back(std::move(deferred));
     } else {
-      RecordRejection(held.request, SubmitOutcome::kOverQuota,
+      RecordRejection(deferred.request, SubmitOutcome::kOverQuota,
                       "quota_unacknowledged");
-      held.done(SubmitOutcome::kOverQuota);
+      deferred.done(SubmitOutcome::kOverQuota);
     }
   }
 }
@@ -170,16 +174,16 @@
       break;
   }
   if (submission.maybe_written) return RetryWrite(id);
-  // The first call that the store turns away shows that it does; another entry
-  // may still reach it.
-  if (++submission.rejected_writes < kMostRefusedWrites && store_.reachable()) {
+  // A rejected call may be the first sign that the store is unreachable from
+  // here; the next write may be relayed through a peer that still reaches it.
+  if (++submission.rejected_writes < kMaxRejectedWrites && store_.reachable()) {
     return Write(id);
   }
   FinishUnaccepted(id, SubmitOutcome::kUnavailable, NameOf(answer.outcome));
 }
 
-// The record may be another entry's, to which the job came first: that one runs
-// the job, so its record counts, not the one that was to be written here.
+// The record may have been written by a peer that received the job first. That
+// peer runs the job, so its record is used and not this gateway's.
 void JobWriter::ReadBack(SubmissionId id) {
   store_.CallDirectOrRelayed(
       platform::ReadRequest{
@@ -193,8 +197,8 @@
       });
 }
 
-// Writing again is harmless: the record is created once, whichever write is the
-// first to take effect.
+// Writing again is safe: the record is created only once, by the first write
+// that takes effect.
 void JobWriter::RetryWrite(SubmissionId id) {
   const Submission& submission = submissions_.at(id);
   if (MonotonicNow() >= submission.give_up_at || !store_.reachable()) {
@@ -204,8 +208,8 @@
 }
 
 void JobWriter::Accept(SubmissionId id, const std::string& value) {
-  auto taken = submissions_.extract(id);
-  const Request& request = taken.mapped().request;
+  auto node = submissions_.extract(id);
+  const Request& request = node.mapped().request;
   const TimePoint now = MonotonicNow();
   LogInfo("job_accepted", {{"job", request.job},
                            {"tokens", request.tokens},
@@ -226,7 +230,7 @@
         },
         [] {});
   }
-  taken.mapped().done(SubmitOutcome::kAccepted);
+  node.mapped().done(SubmitOutcome::kAccepted);
   quota_.OnRecordWritten(
       request.job, callbacks_.record_written({JobName(request.job), value}));
   callbacks_.job_changed(request.job);
@@ -234,15 +238,15 @@
 
 void JobWriter::FinishUnaccepted(SubmissionId id, SubmitOutcome outcome,
                                  std::string_view cause) {
-  auto taken = submissions_.extract(id);
-  const std::string& job = taken.mapped().request.job;
+  auto node = submissions_.extract(id);
+  const std::string& job = node.mapped().request.job;
   if (outcome == SubmitOutcome::kUnknown) {
-    quota_.OnWriteUncertain(job, MonotonicNow() + kKnownEverywhere);
+    quota_.OnWriteUncertain(job, MonotonicNow() + kMaxStoreReadInterval);
   } else {
     quota_.Release(job);
   }
-  RecordRejection(taken.mapped().request, outcome, cause);
-  taken.mapped().done(outcome);
+  RecordRejection(node.mapped().request, outcome, cause);
+  node.mapped().done(outcome);
 }
 
 void JobWriter::End(const std::string& job, TimePoint give_up_at,
@@ -250,7 +254,9 @@
   const serving::BatchJob* known = jobs_.Find(job);
   if (known && known->ended) return done(EndOutcome::kEnded);
   if (!known) {
-    // Known to exist or not known at all: the watch brings it in a moment.
+    // If the job exists, the watch of the store delivers it shortly; if the
+    // read failed, its existence is unknown. In both cases the caller should
+    // retry.
     return store_.CallDirectOrRelayed(
         platform::ReadRequest{.kind = kinds_.KindOfJob(job),
                               .name = JobName(job)},
@@ -283,9 +289,9 @@
     done(EndOutcome::kEnded);
     return callbacks_.job_changed(job);
   }
-  const bool again =
+  const bool retry =
       answer.outcome == StoreOutcome::kUnknown && MonotonicNow() < give_up_at;
-  if (again) return End(job, give_up_at, std::move(done));
+  if (retry) return End(job, give_up_at, std::move(done));
   LogWarning("job_end_failed",
              {{"job", job}, {"outcome", NameOf(answer.outcome)}});
   done(EndOutcome::kUnavailable);
--- a/libs/gateway/src/batch/job_writer.h
+++ b/libs/gateway/src/batch/job_writer.h
@@ -24,47 +24,50 @@
 class StoreCalls;
 
 enum class SubmitOutcome {
-  kAccepted,     // its record is in the store
-  kOverQuota,    // not taken: too many tokens wait
-  kUnavailable,  // not taken: the store is away
-  kTooLarge,     // not taken, ever
-  kUnknown,      // it may have been taken
+  kAccepted,     // the job's record is in the store
+  kOverQuota,    // not accepted: too many waiting tokens
+  kUnavailable,  // not accepted: the store is unavailable
+  kTooLarge,     // never accepted: the record is too large
+  kUnknown,      // it may have been accepted
 };
 
 enum class EndOutcome { kEnded, kNotFound, kUnavailable };
 
-// Writes batch jobs and their ends to the store until it is known whether they
-// are there.
+// Writes records of batch jobs and of their ends to the store, and retries
+// until it is known whether they are stored.
 //
-// A job is accepted only when its record is known to be in the store. "Not
-// taken" is said only when no record of it was sent that may yet be written;
-// where that is not known the outcome is kUnknown, and the job's id makes its
-// return harmless.
+// A job is accepted only once its record is known to be in the store. An
+// outcome that means "not accepted" is returned only if no write that was sent
+// can still take effect. Otherwise the outcome is kUnknown, and the caller can
+// safely submit again: the job's id makes submissions idempotent.
 class JobWriter {
  public:
   using SubmitCallback = std::function<void(SubmitOutcome)>;
   using EndCallback = std::function<void(EndOutcome)>;
   struct Callbacks {
-    // A job or its end is new in the book.
+    // A job or its end was added to the job table.
     std::function<void(const std::string& job)> job_changed;
-    // A record is now in the store; its number among this entry's own.
+    // Called when a record is in the store. Returns its sequence number among
+    // the records that this gateway wrote.
     std::function<uint64_t(const StoreRecord& record)> record_written;
-    // Gateways that accept jobs of the shards held here, this one included.
+    // Number of gateways that accept jobs of the shards held by this gateway,
+    // including this one.
     std::function<size_t()> gateway_count;
-    // The part of all shards that these gateways hold.
+    // Share of all shards that these gateways hold, 0 to 1.
     std::function<double()> shard_share;
-    // Whether what the other live entries have written is known here.
+    // Whether this gateway has all records that its live peers have written.
     std::function<bool()> has_live_peer_records;
-    // The same for all entries: none is silent, or the store was read just now.
+    // Whether this gateway has the records of all gateways: no peer is
+    // unreachable, or the store was read just now.
     std::function<bool()> has_all_records;
-    // Reads the store's records soon.
+    // Schedules a read of the store's records.
     std::function<void()> refresh_records;
   };
   struct Request {
     std::string job;
     JobRecord record;
     uint64_t tokens = 0;
-    uint64_t max_waiting_tokens = 0;  // of the scope; zero: no limit
+    uint64_t max_waiting_tokens = 0;  // per quota scope; zero: no limit
     TimePoint arrived_at;
 
     serving::QuotaScope scope() const {
@@ -73,15 +76,16 @@
   };
 
   JobWriter(StoreCalls& store, const RecordKinds& kinds,
-            serving::JobTable& book, observe::Metrics& metrics,
-            Callbacks ports);
+            serving::JobTable& jobs, observe::Metrics& metrics,
+            Callbacks callbacks);
 
   void Submit(Request&& request, SubmitCallback done);
   void End(const std::string& job, TimePoint give_up_at, EndCallback done);
-  // Every live entry has this entry's records up to `number`. Jobs that waited
-  // for that are judged again.
+  // Every live peer has this gateway's records up to sequence number `number`.
+  // Checks the deferred submissions against the quota again.
   void OnAcknowledged(uint64_t number, TimePoint now);
-  // Whether jobs wait for others to hear of them or of those before them.
+  // Whether any accepted job is not yet acknowledged by all live peers, or any
+  // submission is deferred until earlier jobs are.
   bool awaits_acknowledgement() const noexcept {
     return !quota_.empty() || !deferred_.empty();
   }
@@ -91,12 +95,12 @@
     Request request;
     SubmitCallback done;
     TimePoint give_up_at;
-    bool maybe_written = false;  // a write went unanswered
+    bool maybe_written = false;  // a write got no response
     uint32_t rejected_writes = 0;
   };
   using SubmissionId = uint64_t;
 
-  // Waits until others have heard of the jobs before it.
+  // A submission that waits until peers have acknowledged earlier jobs.
   struct DeferredSubmission {
     Request request;
     SubmitCallback done;
@@ -104,13 +108,14 @@
   };
 
   serving::QuotaVerdict CheckQuota(const Request& request) const;
-  // Counts against the limit from now on; its record is written.
+  // Reserves the job's tokens in the quota and writes its record.
   void StartSubmission(Request&& request, SubmitCallback done);
   void Write(SubmissionId id);
   void OnWritten(SubmissionId id, platform::StoreAnswer&& answer);
   void ReadBack(SubmissionId id);
   void RetryWrite(SubmissionId id);
-  // The job is in the store with this record, by whichever entry.
+  // The job is in the store with the record `value`, which any gateway may have
+  // written.
   void Accept(SubmissionId id, const std::string& value);
   void FinishUnaccepted(SubmissionId id, SubmitOutcome outcome,
                         std::string_view cause);
@@ -127,7 +132,7 @@
   serving::QuotaLimiter quota_;
   uint64_t last_submission_ = 0;
   std::unordered_map<SubmissionId, Submission> submissions_;
-  std::deque<DeferredSubmission> deferred_;  // in the order of their arrival
+  std::deque<DeferredSubmission> deferred_;  // in order of arrival
 };
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/batch/native_batch_api.cc
+++ b/libs/gateway/src/batch/native_batch_api.cc
@@ -23,24 +23,26 @@
 using serving::BatchJob;
 
 constexpr char kPath[] = "/v1/batches";
-// The route whose settings and quota hold for these jobs is that of this path
-// under the caller's host.
+// The route of this path on the caller's host determines the settings and quota
+// of these jobs.
 constexpr char kRoutePath[] = "/v1/batches/";
-constexpr char kStandardTarget[] = "/v1/completions";
-// A record of a job stays below a megabyte; larger files are several jobs.
-constexpr size_t kMostItems = 2000;
-constexpr size_t kMostResults = 1000;     // on one page
-constexpr uint64_t kStandardTokens = 16;  // where an item names no max_tokens
+constexpr char kDefaultTarget[] = "/v1/completions";
+// Keeps a job's record below a megabyte; larger files must be split into
+// several jobs.
+constexpr size_t kMaxItems = 2000;
+constexpr size_t kMaxResults = 1000;        // per page
+constexpr uint64_t kDefaultMaxTokens = 16;  // if an item has no max_tokens
 constexpr std::chrono::milliseconds kRetry{1000};
 constexpr std::chrono::milliseconds kCancelTimeout{3500};
 
 uint64_t TokensOf(const json::object& body, std::string_view text) {
-  const json::value* most = body.if_contains("max_tokens");
-  const uint64_t answer = most && most->is_int64() && most->get_int64() > 0
-                              ? static_cast<uint64_t>(most->get_int64())
-                              : kStandardTokens;
-  // Four bytes a token, as a rule of thumb for text.
-  return answer + text.size() / 4;
+  const json::value* max_tokens = body.if_contains("max_tokens");
+  const uint64_t output_tokens =
+      max_tokens && max_tokens->is_int64() && max_tokens->get_int64() > 0
+          ? static_cast<uint64_t>(max_tokens->get_int64())
+          : kDefaultMaxTokens;
+  // Estimates four bytes per token of text.
+  return output_tokens + text.size() / 4;
 }
 
 Result<BatchItem> ParseLine(std::string_view job, std::string_view line) {
@@ -50,18 +52,19 @@
   const json::value* id = object ? object->if_contains("custom_id") : nullptr;
   const json::value* body = object ? object->if_contains("body") : nullptr;
   if (!id || !id->is_string() || !body || !body->is_object()) {
-    return Fail(ErrorCode::kInvalid,
-                "a line is not an object with custom_id and body");
+    return Fail(
+        ErrorCode::kInvalid,
+        "each line must be a JSON object with \"custom_id\" and \"body\"");
   }
   json::object request = body->get_object();
-  // Results are put together from events.
+  // Results are assembled from the events of the stream.
   request["stream"] = true;
   const json::value* url = object->if_contains("url");
   BatchItem item;
-  // Backend servers tell requests apart by id, so it names its job as well.
+  // Backend servers identify requests by id, so the id includes the job.
   item.id = fmt::format("{}-{}", job, id->get_string().c_str());
-  item.target = url && url->is_string() ? std::string(url->get_string())
-                                        : kStandardTarget;
+  item.target =
+      url && url->is_string() ? std::string(url->get_string()) : kDefaultTarget;
   item.headers.Add("Content-Type", "application/json");
   item.body = json::serialize(request);
   item.tokens = TokensOf(request, item.body);
@@ -79,9 +82,9 @@
     BOOST_LEAF_AUTO(item, ParseLine(job, line));
     items.push_back(std::move(item));
   }
-  if (items.empty() || items.size() > kMostItems) {
+  if (items.empty() || items.size() > kMaxItems) {
     return Fail(ErrorCode::kInvalid,
-                fmt::format("a job holds 1 to {} lines", kMostItems));
+                fmt::format("a job must have 1 to {} lines", kMaxItems));
   }
   return items;
 }
@@ -91,8 +94,8 @@
   return job.complete() ? "completed" : "running";
 }
 
-// One event's text in either form of the OpenAI interface; nothing for events
-// without any, such as the last.
+// Text of one event in either response format of the OpenAI API (completions or
+// chat); empty for events without text, such as the last.
 std::string TextOfEvent(std::string_view data) {
   json::error_code ec;
   const json::value parsed = json::parse({data.data(), data.size()}, ec);
@@ -131,7 +134,8 @@
   return json::serialize(line) + "\n";
 }
 
-// Without a key of the caller's, a resend cannot be told from a new job.
+// Without an idempotency key, a resubmission cannot be distinguished from a new
+// job.
 std::string IdOfSubmission(const http::RequestEvent& request,
                            const CallerIdentity& caller) {
   std::string key(request.headers.Find("Idempotency-Key"));
@@ -142,22 +146,22 @@
 
 }  // namespace
 
-// `/v1/batches/ID/VERB?after=N&limit=N` taken apart.
+// Parsed components of `/v1/batches/ID/VERB?after=N&limit=N`.
 struct NativeBatchApi::JobTarget {
   std::string id;
   std::string verb;
   size_t after = 0;
-  size_t limit = kMostResults;
+  size_t limit = kMaxResults;
 };
 
 NativeBatchApi::NativeBatchApi(const serving::RouteTable& routes,
-                               const serving::JobTable& book, JobWriter& writer,
-                               std::string own_name, Callbacks ports)
+                               const serving::JobTable& jobs, JobWriter& writer,
+                               std::string own_name, Callbacks callbacks)
     : routes_(routes),
-      jobs_(book),
+      jobs_(jobs),
       writer_(writer),
       own_name_(std::move(own_name)),
-      callbacks_(std::move(ports)) {}
+      callbacks_(std::move(callbacks)) {}
 
 bool NativeBatchApi::IsTarget(std::string_view target) {
   const std::string_view path = target.substr(0, target.find('?'));
@@ -192,7 +196,7 @@
       const size_t number = std::strtoull(parameter.value.c_str(), nullptr, 10);
       if (parameter.key == "after") target.after = number;
       if (parameter.key == "limit") {
-        target.limit = std::clamp<size_t>(number, 1, kMostResults);
+        target.limit = std::clamp<size_t>(number, 1, kMaxResults);
       }
     }
   }
@@ -237,7 +241,8 @@
           if (!callbacks_.may_use_model(item.body, caller)) {
             return Fail(
                 ErrorCode::kInvalid,
-                "the workspace may not ask for the model of " + item.id);
+                "the workspace is not allowed to use the model of item " +
+                    item.id);
           }
           tokens += item.tokens;
         }
@@ -267,11 +272,12 @@
 void NativeBatchApi::OnSubmitted(ExchangeId exchange,
                                  const CallerIdentity& caller,
                                  const std::string& id, SubmitOutcome outcome) {
-  ErrorResponse error{.code = NameOf(outcome),
-                      .message = "send the same job again with its key",
-                      .request_id = caller.request_id,
-                      .execution = ExecutionStatus::kNotExecuted,
-                      .retry_after = kRetry};
+  ErrorResponse error{
+      .code = NameOf(outcome),
+      .message = "retry the submission with the same idempotency key",
+      .request_id = caller.request_id,
+      .execution = ExecutionStatus::kNotExecuted,
+      .retry_after = kRetry};
   switch (outcome) {
     case SubmitOutcome::kAccepted:
       return RespondStatus(exchange, caller, 202, id);
@@ -283,7 +289,7 @@
       break;
     case SubmitOutcome::kTooLarge:
       error.status = 413;
-      error.message = "split the job";
+      error.message = "the job is too large; split it into several jobs";
       error.retry_after.reset();
       break;
     case SubmitOutcome::kUnknown:
@@ -302,7 +308,7 @@
   const auto failed = std::count_if(
       job->results.begin(), job->results.end(),
       [](const auto& r) { return r.state == serving::ItemState::kFailed; });
-  const auto listed = static_cast<int64_t>(job->results.size());
+  const auto committed = static_cast<int64_t>(job->results.size());
   const auto total = static_cast<int64_t>(job->items.size());
   http::RespondCommand command{.exchange = exchange, .status = status};
   command.headers.Add("Content-Type", "application/json");
@@ -312,23 +318,24 @@
                    {"object", "batch"},
                    {"state", StateOf(*job)},
                    {"total", total},
-                   {"completed", listed - failed},
+                   {"completed", committed - failed},
                    {"failed", failed},
-                   {"cancelled", job->ended ? total - listed : 0}});
+                   {"cancelled", job->ended ? total - committed : 0}});
   callbacks_.to_caller(std::move(command));
 }
 
-// Failure guarded against: a job that another entry accepted a moment ago and
-// that is not known here yet would be denied to its caller.
+// Guards against a 404 for a job that a peer has just accepted and whose record
+// has not reached this gateway yet.
 void NativeBatchApi::RespondUnknownJob(ExchangeId exchange,
                                        const CallerIdentity& caller) {
   if (!callbacks_.has_all_records()) {
-    return callbacks_.to_caller(
-        ToCommand(exchange, {.status = 503,
-                             .code = "not_current",
-                             .message = "not all jobs are known here now",
-                             .request_id = caller.request_id,
-                             .retry_after = kRetry}));
+    return callbacks_.to_caller(ToCommand(
+        exchange,
+        {.status = 503,
+         .code = "not_current",
+         .message = "this gateway does not have all job records yet; retry",
+         .request_id = caller.request_id,
+         .retry_after = kRetry}));
   }
   callbacks_.to_caller(ToCommand(exchange, {.status = 404,
                                             .code = "batch_not_found",
@@ -336,7 +343,7 @@
                                             .request_id = caller.request_id}));
 }
 
-// A job of another workspace is not shown to exist.
+// A job of another workspace is reported as not found.
 const BatchJob* NativeBatchApi::FindJob(const CallerIdentity& caller,
                                         const std::string& id) const {
   const BatchJob* job = jobs_.Find(id);
@@ -371,21 +378,23 @@
                             const CallerIdentity& caller,
                             const std::string& id) {
   if (!FindJob(caller, id)) return RespondUnknownJob(request.exchange, caller);
-  writer_.End(id, request.received_at + kCancelTimeout,
-              [this, exchange = request.exchange, caller, id](EndOutcome end) {
-                if (end == EndOutcome::kEnded) {
-                  return RespondStatus(exchange, caller, 202, id);
-                }
-                if (end == EndOutcome::kNotFound) {
-                  return RespondUnknownJob(exchange, caller);
-                }
-                callbacks_.to_caller(ToCommand(
-                    exchange, {.status = 503,
-                               .code = "platform_unavailable",
-                               .message = "send the cancellation again",
-                               .request_id = caller.request_id,
-                               .retry_after = kRetry}));
-              });
+  writer_.End(
+      id, request.received_at + kCancelTimeout,
+      [this, exchange = request.exchange, caller, id](EndOutcome end) {
+        if (end == EndOutcome::kEnded) {
+          return RespondStatus(exchange, caller, 202, id);
+        }
+        if (end == EndOutcome::kNotFound) {
+          return RespondUnknownJob(exchange, caller);
+        }
+        callbacks_.to_caller(ToCommand(
+            exchange,
+            {.status = 503,
+             .code = "platform_unavailable",
+             .message = "the cancellation is not confirmed; retry the request",
+             .request_id = caller.request_id,
+             .retry_after = kRetry}));
+      });
 }
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/batch/native_batch_api.h
+++ b/libs/gateway/src/batch/native_batch_api.h
@@ -15,34 +15,35 @@
 
 namespace knapweedstile::gateway {
 
-// Batch jobs in the product's own form (docs/design/protocols.md):
+// The product's native batch job API (docs/design/protocols.md):
 //
 //   POST /v1/batches                 JSON lines, one item each
 //   GET  /v1/batches/ID              its status
 //   GET  /v1/batches/ID/results      JSON lines, from ?after=N on
 //   POST /v1/batches/ID/cancel
 //
-// They are the same jobs as those in the platform's form: one book, one writer.
+// Jobs are shared with the API in the platform's format (BatchApi): both use
+// the same job table and writer.
 class NativeBatchApi {
  public:
   struct Callbacks {
     std::function<void(http::ServerCommand&&)> to_caller;
-    // Whether all records that exist are known here.
+    // Whether this gateway has all records that exist.
     std::function<bool()> has_all_records;
-    // Whether the caller's workspace may ask for the model of an item.
+    // Whether the caller's workspace may use the model that the item requests.
     std::function<bool(std::string_view body, const CallerIdentity& caller)>
         may_use_model;
   };
 
   NativeBatchApi(const serving::RouteTable& routes,
-                 const serving::JobTable& book, JobWriter& writer,
-                 std::string own_name, Callbacks ports);
+                 const serving::JobTable& jobs, JobWriter& writer,
+                 std::string own_name, Callbacks callbacks);
 
   static bool IsTarget(std::string_view target);
-  // The route whose settings hold for these jobs on the host, or null.
+  // The route whose settings apply to these jobs on the host, or null.
   static const serving::Route* FindRoute(const serving::RouteTable& routes,
                                          std::string_view host);
-  // The job that the request is about, or would submit; empty: none.
+  // Id of the job that the request refers to or would submit; empty if none.
   static std::string JobIdOf(const http::RequestEvent& request,
                              const CallerIdentity& caller);
   void OnRequest(http::RequestEvent&& request, const CallerIdentity& caller);
--- a/libs/gateway/src/batch/record_kinds.h
+++ b/libs/gateway/src/batch/record_kinds.h
@@ -10,14 +10,14 @@
 
 namespace knapweedstile::gateway {
 
-// The kinds of the store that hold the records of batch jobs: one kind for each
-// shard, so that a gateway reads the jobs of its cell and no others.
+// Names of the store kinds that hold the records of batch jobs. Each shard has
+// its own kind, so a gateway reads only the jobs of its cell.
 class RecordKinds {
  public:
   explicit RecordKinds(const cluster::FleetView& fleet) : fleet_(fleet) {}
 
   std::string KindOfJob(std::string_view job) const;
-  // Those that this gateway follows.
+  // Kinds of the shards that this gateway holds.
   std::vector<std::string> OwnKinds() const;
 
  private:
--- a/libs/gateway/src/batch/record_reader.cc
+++ b/libs/gateway/src/batch/record_reader.cc
@@ -16,8 +16,8 @@
 
 }  // namespace
 
-RecordReader::RecordReader(serving::JobTable& book, Callbacks ports)
-    : jobs_(book), callbacks_(std::move(ports)) {}
+RecordReader::RecordReader(serving::JobTable& jobs, Callbacks callbacks)
+    : jobs_(jobs), callbacks_(std::move(callbacks)) {}
 
 void RecordReader::ApplyRecord(const platform::StoredObject& object) {
   const RecordName name = ParseRecordName(object.name);
@@ -53,8 +53,8 @@
       [] {});
 }
 
-// Most records that a read of the store brings were pushed before: they are not
-// decoded again.
+// Most records that a store read returns were already pushed by peers; they are
+// not decoded again.
 void RecordReader::AddSegment(const RecordName& name,
                               const platform::StoredObject& object) {
   if (jobs_.HasSegment(name.id, name.segment)) return;
--- a/libs/gateway/src/batch/record_reader.h
+++ b/libs/gateway/src/batch/record_reader.h
@@ -15,16 +15,16 @@
 
 struct RecordName;
 
-// Takes the system's own records, read from the store or pushed by other
-// entries, into the book.
+// Decodes records of batch jobs, read from the store or pushed by peers, and
+// applies them to the job table.
 class RecordReader {
  public:
   struct Callbacks {
-    // A job has results or its end that were not known here.
+    // A job has new results or was ended.
     std::function<void(const std::string& job)> job_updated;
   };
 
-  RecordReader(serving::JobTable& book, Callbacks ports);
+  RecordReader(serving::JobTable& jobs, Callbacks callbacks);
 
   void ApplyRecord(const platform::StoredObject& object);
 
--- a/libs/gateway/src/batch/result_committer.cc
+++ b/libs/gateway/src/batch/result_committer.cc
@@ -17,17 +17,18 @@
 using platform::StoreOutcome;
 using serving::ItemResult;
 
-// Items of a job end a few a second; a write for each would cost more calls
-// than readers, who ask twice a second, could notice.
-constexpr std::chrono::milliseconds kGatherTime{250};
+// A few items of a job finish per second, and readers poll twice a second. One
+// write per item would cost store calls without a benefit to readers.
+constexpr std::chrono::milliseconds kBatchingDelay{250};
 constexpr std::chrono::milliseconds kRetryPause{250};
-// A slow store takes a quarter of a second.
+// A slow store responds within a quarter of a second.
 constexpr std::chrono::milliseconds kWriteTimeout{1500};
-// Below the store's limit on a value, with room for escapes.
+// Below the store's limit on the size of a value, which leaves space for
+// escapes.
 constexpr size_t kMaxSegmentBytes = 600 << 10;
 
-// As many results as one segment holds; at least one.
-std::vector<ItemResult> Fitting(std::vector<ItemResult>&& results) {
+// Returns as many leading results as fit into one segment, at least one.
+std::vector<ItemResult> FirstSegment(std::vector<ItemResult>&& results) {
   size_t bytes = 0;
   size_t count = 0;
   while (count < results.size()) {
@@ -42,18 +43,18 @@
 }  // namespace
 
 ResultCommitter::ResultCommitter(
-    StoreCalls& store, const RecordKinds& kinds, serving::JobTable& book,
+    StoreCalls& store, const RecordKinds& kinds, serving::JobTable& jobs,
     std::function<void(const std::string&)> committed,
     std::function<void(const StoreRecord&)> written)
     : store_(store),
       kinds_(kinds),
-      jobs_(book),
+      jobs_(jobs),
       committed_(std::move(committed)),
       written_(std::move(written)) {}
 
 void ResultCommitter::OnItemFinished(const std::string& job, TimePoint now) {
   const auto [pending, is_new] = pending_.try_emplace(job);
-  if (is_new) pending->second.write_at = now + kGatherTime;
+  if (is_new) pending->second.write_at = now + kBatchingDelay;
 }
 
 void ResultCommitter::Run(TimePoint now) {
@@ -77,7 +78,7 @@
 void ResultCommitter::Write(const std::string& job, Pending& pending) {
   pending.in_flight = true;
   pending.number = jobs_.Find(job)->segments;
-  pending.results = Fitting(jobs_.UncommittedResults(job));
+  pending.results = FirstSegment(jobs_.UncommittedResults(job));
   pending.record = {SegmentName(job, pending.number),
                     EncodeSegment(pending.results)};
   store_.CallDirectOrRelayed(
@@ -126,7 +127,7 @@
       [&]() -> boost::leaf::result<void> {
         const platform::StoredObject& object = answer.objects.front();
         BOOST_LEAF_AUTO(results, DecodeSegment(object.value));
-        // It may be this entry's own, whose answer was lost.
+        // It may be this gateway's own segment, whose write response was lost.
         written_({object.name, object.value});
         ApplySegment(job, number, std::move(results));
         return {};
@@ -148,7 +149,7 @@
   Pending& pending = pending_[job];
   pending.in_flight = false;
   pending.results.clear();
-  pending.write_at = MonotonicNow() + kGatherTime;
+  pending.write_at = MonotonicNow() + kBatchingDelay;
   committed_(job);
 }
 
--- a/libs/gateway/src/batch/result_committer.h
+++ b/libs/gateway/src/batch/result_committer.h
@@ -17,16 +17,16 @@
 class RecordKinds;
 class StoreCalls;
 
-// Writes finished items' results to the store as numbered segments.
+// Writes the results of finished items to the store as numbered segments.
 //
-// A segment is created only if its number is free, and only by a process that
-// knows all earlier ones, so of two processes that ran the same item one
-// commits it and the other sees it listed. A write whose answer was lost is
-// read back before anything else is decided.
+// A segment is created only if its number is unused, and only by a gateway that
+// has all earlier segments. If two gateways ran the same item, one commits its
+// result and the other finds it in the committed segment. If the response to a
+// write is lost, the segment is read back before the next step.
 class ResultCommitter {
  public:
   ResultCommitter(StoreCalls& store, const RecordKinds& kinds,
-                  serving::JobTable& book,
+                  serving::JobTable& jobs,
                   std::function<void(const std::string& job)> committed,
                   std::function<void(const StoreRecord& record)> written);
 
@@ -34,7 +34,7 @@
   void OnItemFinished(const std::string& job, TimePoint now);
   // Starts the writes that are due.
   void Run(TimePoint now);
-  // Results that are not in the store yet.
+  // Whether all results are in the store.
   bool idle() const noexcept { return pending_.empty(); }
 
  private:
@@ -60,7 +60,7 @@
   serving::JobTable& jobs_;
   std::function<void(const std::string&)> committed_;
   std::function<void(const StoreRecord&)> written_;
-  std::map<std::string, Pending> pending_;  // by job
+  std::map<std::string, Pending> pending_;  // by job key
 };
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/tests/batch_runner_test.cc
+++ b/libs/gateway/tests/batch_runner_test.cc
@@ -33,19 +33,19 @@
   return routes;
 }
 
-// A runner with one job, without backend servers.
+// A runner with one job and no backend servers.
 struct Fixture {
   boost::asio::io_context io;
-  serving::SlotScheduler board{{}, "zone-a", 1};
-  serving::JobTable book;
+  serving::SlotScheduler scheduler{{}, "zone-a", 1};
+  serving::JobTable jobs;
   serving::RouteTable routes;
   observe::Metrics metrics;
   observe::Timeline timeline{16};
   TimePoint now = MonotonicNow();
   ServerConnections connections{io};
   BatchRunner runner{connections,
-                     board,
-                     book,
+                     scheduler,
+                     jobs,
                      routes,
                      metrics,
                      timeline,
@@ -62,26 +62,27 @@
   Fixture() {
     metrics.DeclareCounter("knap_items_total", "", {"state", "policy"});
     metrics.DeclareCounter("knap_items_requeued_total", "", {"reason"});
-    book.AddJob(MakeJob(now));
+    jobs.AddJob(MakeJob(now));
   }
-  ItemPhase Phase() const { return book.Find("job-1")->progress[0].phase; }
+  ItemPhase Phase() const { return jobs.Find("job-1")->progress[0].phase; }
 };
 
 }  // namespace
 
-// All entries are killed at once. One comes back and reads its jobs before its
-// configuration, so that it knows no route at all. Callers then saw every item
-// of the job listed as failed, though it could have run a moment later.
-TEST_CASE("an item is kept while no configuration is known") {
+// Guards against items that fail permanently after all gateways were killed at
+// once: a restarted gateway reads its jobs before its configuration and knows
+// no routes until then.
+TEST_CASE("an item stays waiting while no configuration is known") {
   Fixture fixture;
   fixture.runner.Run(fixture.now);
   fixture.runner.Run(fixture.now + std::chrono::seconds(30));
   CHECK(fixture.Phase() == ItemPhase::kWaiting);
 }
 
-// An entry's configuration may be older than the one under which a job was
-// accepted elsewhere: its route is missing only for a moment.
-TEST_CASE("an item without a route is given up only after a while") {
+// Guards against items that fail because this gateway's configuration is older
+// than the one under which a peer accepted the job; the route is then missing
+// only briefly.
+TEST_CASE("an item without a route fails only after the route timeout") {
   Fixture fixture;
   fixture.routes = OtherRoutes(7);
   fixture.runner.Run(fixture.now);
