--- a/libs/gateway/src/store/kind_digest.cc
+++ b/libs/gateway/src/store/kind_digest.cc
@@ -10,13 +10,13 @@
   for (const platform::StoredObject& object : objects) Apply(object);
 }
 
-// The hashes of all objects by exclusive or, so that a change costs as much as
-// the object that changed.
+// XOR of the hashes of all objects, so that an update costs only as much as the
+// changed object.
 void KindDigest::Apply(const platform::StoredObject& object) {
-  const auto known = versions_.find(object.name);
-  if (known != versions_.end()) {
-    value_ ^= Hash64(object.name, known->second);
-    versions_.erase(known);
+  const auto previous = versions_.find(object.name);
+  if (previous != versions_.end()) {
+    value_ ^= Hash64(object.name, previous->second);
+    versions_.erase(previous);
   }
   if (object.deleted) return;
   versions_[object.name] = object.version;
--- a/libs/gateway/src/store/kind_digest.h
+++ b/libs/gateway/src/store/kind_digest.h
@@ -10,8 +10,9 @@
 
 namespace knapweedstile::gateway {
 
-// A digest of which objects of a kind exist, in which versions. Two mirrors
-// with the same digest know the same, whatever revisions they read up to.
+// A digest of the names and versions of all objects of a kind. Two mirrors with
+// the same digest hold the same objects, regardless of the revisions they have
+// read up to.
 class KindDigest {
  public:
   void Reset(const std::vector<platform::StoredObject>& objects);
--- a/libs/gateway/src/store/kind_mirror.cc
+++ b/libs/gateway/src/store/kind_mirror.cc
@@ -13,30 +13,31 @@
 using platform::StoreAnswer;
 using platform::StoreOutcome;
 
-// Between tries while the store is away: short enough that changes are seen
-// within two seconds of its return, and no shorter, since calls that are turned
-// away cost as much as others.
-constexpr std::chrono::milliseconds kFirstRetry{100};
-constexpr std::chrono::milliseconds kLastRetry{1000};
-constexpr std::chrono::milliseconds kSeldomRetry{4000};
-// Of a list's first page: a store that is slow takes 0.4 s, and one that is
-// silent is to be asked again soon.
+// Retry pauses during a store outage: short enough that changes are seen within
+// two seconds of its return, and no shorter, since rejected calls cost as much
+// as others.
+constexpr std::chrono::milliseconds kFirstRetryPause{100};
+constexpr std::chrono::milliseconds kMaxRetryPause{1000};
+constexpr std::chrono::milliseconds kRareRetryPause{4000};
+// Timeout for the first page of a list: a slow store takes 0.4 s, and a silent
+// one should be called again soon.
 constexpr std::chrono::milliseconds kListTimeout{1000};
-// A list that took longer is followed by a watch that does not wait, which says
-// what has changed meanwhile.
-constexpr std::chrono::milliseconds kFreshList{100};
-constexpr std::chrono::milliseconds kShortestWait{1};
-// A watch brings a change within milliseconds; one that has waited this long
-// while others tell of a change has gone silent.
-constexpr std::chrono::milliseconds kSilentWatch{500};
-// For the answer of a watch to arrive: the store answers in milliseconds, and
-// in a quarter of a second when it is slow.
+// A list that took longer is followed by a watch that does not wait, which
+// returns the changes made since the list began.
+constexpr std::chrono::milliseconds kFreshListLimit{100};
+constexpr std::chrono::milliseconds kMinWatchWait{1};
+// A watch delivers a change within milliseconds. One that has waited this long
+// while peers report a change is considered silent.
+constexpr std::chrono::milliseconds kSilentWatchThreshold{500};
+// Time for the response of a watch to arrive. The store responds in
+// milliseconds, or in a quarter of a second when it is slow.
 constexpr std::chrono::milliseconds kWatchGrace{700};
-// A page of a large kind is a megabyte, which takes a second on a link of 30
-// Mbit/s that answers to callers share.
-constexpr std::chrono::milliseconds kLargeAnswer{4000};
-// Refreshes follow hints of other entries, which come several times a second.
-constexpr std::chrono::milliseconds kRefreshPause{1000};
+// A page of a large kind is a megabyte, which takes a second on a 30 Mbit/s
+// link that is shared with responses to callers.
+constexpr std::chrono::milliseconds kLargeResponseTimeout{4000};
+// Minimum interval between refreshes; peer reports that trigger them arrive
+// several times a second.
+constexpr std::chrono::milliseconds kRefreshInterval{1000};
 
 }  // namespace
 
@@ -51,7 +52,7 @@
   timer_.expires_after(pause);
   timer_.async_wait([this, next, pause_number = ++pause_number_](
                         const boost::system::error_code& ec) {
-    // A pause that was ended while its timer had already fired.
+    // The pause was ended after its timer had already fired.
     if (ec || pause_number != pause_number_) return;
     pausing_ = retrying_ = false;
     (this->*next)();
@@ -65,9 +66,10 @@
                                {"outcome", NameOf(answer.outcome)},
                                {"reason", answer.message}});
   }
-  const auto longest = settings_.probes_lost_store ? kLastRetry : kSeldomRetry;
+  const auto max_pause =
+      settings_.probes_lost_store ? kMaxRetryPause : kRareRetryPause;
   const auto pause =
-      std::min(kFirstRetry * (1 << std::min(failures_, 5U)), longest);
+      std::min(kFirstRetryPause * (1 << std::min(failures_, 5U)), max_pause);
   ++failures_;
   retrying_ = true;
   ScheduleAfter(std::max<Duration>(pause, answer.retry_after), next);
@@ -97,32 +99,32 @@
   ReadNow();
 }
 
-void KindMirror::SetReceivesUpdates(bool fed) {
-  if (receives_updates_ == fed) return;
-  receives_updates_ = fed;
-  // A watch brings at once what has changed since.
-  if (!fed && waiting_for_updates_) Watch();
+void KindMirror::SetReceivesUpdates(bool receives_updates) {
+  if (receives_updates_ == receives_updates) return;
+  receives_updates_ = receives_updates;
+  // A watch returns the changes since then immediately.
+  if (!receives_updates && waiting_for_updates_) Watch();
 }
 
-bool KindMirror::IsContiguous(const StoreUpdate& news) const {
-  if (news.digest_before == digest_.value()) return true;
-  if (news.after > revision_) return false;
-  if (news.after == revision_) return true;
-  // A removal may carry the version of the change before it, so that one which
-  // is known already cannot be told from a new one.
-  return std::none_of(news.objects.begin(), news.objects.end(),
+bool KindMirror::IsContiguous(const StoreUpdate& update) const {
+  if (update.digest_before == digest_.value()) return true;
+  if (update.after > revision_) return false;
+  if (update.after == revision_) return true;
+  // A deletion may carry the version of the preceding change, so a known
+  // deletion cannot be distinguished from a new one.
+  return std::none_of(update.objects.begin(), update.objects.end(),
                       [](const auto& object) { return object.deleted; });
 }
 
-void KindMirror::OnStoreUpdate(StoreUpdate&& news) {
-  // The answer to a call in flight may be older than the news.
+void KindMirror::OnStoreUpdate(StoreUpdate&& update) {
+  // The response to a call in flight may be older than the update.
   const bool idle = waiting_for_updates_ || (pausing_ && !retrying_);
-  if (!idle || news.as_of <= revision_) return;
-  if (!IsContiguous(news))
+  if (!idle || update.as_of <= revision_) return;
+  if (!IsContiguous(update))
     return waiting_for_updates_ ? ReadNow() : SkipPause();
-  const uint64_t known = std::exchange(revision_, news.as_of);
-  for (platform::StoredObject& object : news.objects) {
-    if (!object.deleted && object.version <= known) continue;
+  const uint64_t known_revision = std::exchange(revision_, update.as_of);
+  for (platform::StoredObject& object : update.objects) {
+    if (!object.deleted && object.version <= known_revision) continue;
     newest_change_ = std::max(newest_change_, object.version);
     ApplyChange(std::move(object));
   }
@@ -142,7 +144,8 @@
 }
 
 void KindMirror::RenewWatch() {
-  if (!watching_ || MonotonicNow() - call_began_ < kSilentWatch) return;
+  if (!watching_ || MonotonicNow() - call_began_ < kSilentWatchThreshold)
+    return;
   LogInfo("mirror_watch_renewed",
           {{"kind", settings_.kind}, {"revision", revision_}});
   ReadAgain();
@@ -150,9 +153,9 @@
 
 void KindMirror::OnStoreRegained() {
   if (pausing_ || (revision_ == 0 && !retrying_)) return;
-  // Failure guarded against: at VMs whose links were busy, answers came late,
-  // the store was taken for lost and regained several times a second, and each
-  // time all records were listed once more; no list ever came to its end.
+  // Guards against a list that never completes. On VMs with busy links,
+  // responses came late, the store was considered lost and regained several
+  // times a second, and each time all records were listed again.
   if (settings_.large_kind && listing_) return;
   ++generation_;
   EndPause();
@@ -162,7 +165,7 @@
 
 void KindMirror::Refresh() {
   const TimePoint now = MonotonicNow();
-  if (revision_ == 0 || now - refreshed_at_ < kRefreshPause) return;
+  if (revision_ == 0 || now - refreshed_at_ < kRefreshInterval) return;
   refreshed_at_ = now;
   LogInfo("mirror_refreshed",
           {{"kind", settings_.kind}, {"newest_change", newest_change_}});
@@ -177,7 +180,8 @@
   watching_ = false;
   listing_ = true;
   call_began_ = MonotonicNow();
-  const Duration timeout = settings_.large_kind ? kLargeAnswer : kListTimeout;
+  const Duration timeout =
+      settings_.large_kind ? kLargeResponseTimeout : kListTimeout;
   const bool stale =
       settings_.stale_first_list && revision_ == 0 && failures_ == 0;
   store_.Call(
@@ -203,7 +207,7 @@
     newest_change_ = std::max(newest_change_, object.version);
   }
   const bool may_be_stale = settings_.stale_first_list && first;
-  caught_up_ = !may_be_stale && MonotonicNow() - call_began_ <= kFreshList;
+  caught_up_ = !may_be_stale && MonotonicNow() - call_began_ <= kFreshListLimit;
   handlers_.listed(std::move(answer.objects));
   if (handlers_.read_completed && !may_be_stale)
     handlers_.read_completed(call_began_);
@@ -217,24 +221,26 @@
   waiting_for_updates_ =
       receives_updates_ && (caught_up_ || settings_.stale_first_list);
   if (waiting_for_updates_) return;
-  WatchFor(caught_up_ ? settings_.watch_wait : kShortestWait);
+  WatchFor(caught_up_ ? settings_.watch_wait : kMinWatchWait);
 }
 
-// Beyond the history the store could only say that it is gone.
+// Beyond the retained history, the store could only report that it was
+// compacted.
 void KindMirror::ReadNow() {
-  const bool history_gone =
+  const bool history_compacted =
       MonotonicNow() - up_to_date_at_ > settings_.history_retention;
-  if (settings_.on_demand && history_gone) return List();
+  if (settings_.on_demand && history_compacted) return List();
   immediate_read_ = true;
   waiting_for_updates_ = false;
-  WatchFor(kShortestWait);
+  WatchFor(kMinWatchWait);
 }
 
 void KindMirror::WatchFor(Duration wait) {
   if (stopped_) return;
   call_began_ = MonotonicNow();
   watching_ = true;
-  const Duration grace = settings_.large_kind ? kLargeAnswer : kWatchGrace;
+  const Duration grace =
+      settings_.large_kind ? kLargeResponseTimeout : kWatchGrace;
   store_.Call(platform::WatchRequest{.kind = settings_.kind,
                                      .after = revision_,
                                      .wait_until = call_began_ + wait,
@@ -250,11 +256,11 @@
     return List();
   }
   if (answer.outcome != StoreOutcome::kOk) {
-    // A call that does not wait: it is answered at once when the store is back.
-    // A list where that is cheap: what changed meanwhile may be more than the
-    // store's history holds.
-    const bool go_on = settings_.large_kind && revision_ != 0;
-    return Retry(go_on ? &KindMirror::ReadNow : &KindMirror::List, answer);
+    // Retries with a call that does not wait, since it returns as soon as the
+    // store is back. Lists again where that is cheap, because the changes
+    // during the outage may exceed the store's history.
+    const bool resume = settings_.large_kind && revision_ != 0;
+    return Retry(resume ? &KindMirror::ReadNow : &KindMirror::List, answer);
   }
   failures_ = 0;
   following_ = true;
@@ -266,31 +272,31 @@
                             {"objects", answer.objects.size()},
                             {"last", answer.objects.back().version}});
   }
-  StoreUpdate news{.kind = settings_.kind,
-                   .after = revision_,
-                   .digest_before = digest_.value(),
-                   .as_of = std::max(revision_, answer.revision)};
+  StoreUpdate update{.kind = settings_.kind,
+                     .after = revision_,
+                     .digest_before = digest_.value(),
+                     .as_of = std::max(revision_, answer.revision)};
   for (const platform::StoredObject& object : answer.objects) {
-    news.as_of = std::max(news.as_of, object.version);
+    update.as_of = std::max(update.as_of, object.version);
   }
   if (handlers_.update_read) {
-    news.objects = answer.objects;
-    handlers_.update_read(news);
+    update.objects = answer.objects;
+    handlers_.update_read(update);
   }
-  revision_ = news.as_of;
+  revision_ = update.as_of;
   for (platform::StoredObject& object : answer.objects) {
     newest_change_ = std::max(newest_change_, object.version);
     ApplyChange(std::move(object));
   }
-  // A part of what has changed: resting now would let this mirror fall further
-  // behind with each answer, and what was read is not all there is.
+  // Only a part of the changes was returned. Pausing now would let this mirror
+  // fall further behind with each response, and the read is not complete.
   if (answer.more) return Watch();
   caught_up_ = true;
   if (handlers_.read_completed) handlers_.read_completed(call_began_);
-  // One who reads now again and again would leave a watch behind each time,
-  // which the next change ends: two calls for one.
-  const bool rest = !answer.objects.empty() || immediate_read_;
-  if (!rest || settings_.pause.count() == 0) return Watch();
+  // Without a pause, repeated immediate reads would each start a watch that the
+  // next change ends: two calls instead of one.
+  const bool pause = !answer.objects.empty() || immediate_read_;
+  if (!pause || settings_.pause.count() == 0) return Watch();
   Pause();
 }
 
--- a/libs/gateway/src/store/kind_mirror.h
+++ b/libs/gateway/src/store/kind_mirror.h
@@ -17,51 +17,50 @@
 
 class StoreCalls;
 
-// How a kind is followed.
+// Settings for following a kind.
 struct MirrorSettings {
   std::string kind;
-  // How long a watch waits: bounds how late a connection that went silent is
-  // noticed when neither its keep-alive probes nor another entry shows it. A
-  // watch is a call, so shorter costs calls.
+  // How long a watch waits. Bounds the time to detect a silent connection if
+  // neither keep-alive probes nor a peer reveals it. Each watch is a call, so a
+  // shorter wait costs calls.
   std::chrono::milliseconds watch_wait{4000};
-  // Pause between an event and the next watch, so that a burst of changes
-  // costs few calls; bounds how late a change is seen.
+  // Pause between a change and the next watch, so that a burst of changes costs
+  // few calls. Bounds how late a change is seen.
   std::chrono::milliseconds pause{0};
-  // Objects of the kind take megabytes together, which small VMs read for
-  // seconds: an answer that takes long is not taken for a store that is away,
-  // and what is known is not listed again as long as a watch can go on from it.
+  // For kinds whose objects total megabytes, which small VMs read for seconds:
+  // a slow response is not taken as a store outage, and the kind is not listed
+  // again while a watch can continue from the known revision.
   bool large_kind = false;
-  // No watch waits: what has changed is read when it is asked for, and after
-  // each pause.
+  // Watches do not wait: changes are read on demand and after each pause.
   bool on_demand = false;
-  // How long the store keeps what has changed.
+  // How long the store retains the history of changes.
   std::chrono::milliseconds history_retention{20000};
-  // Many pages: the first list may be old, and a read of what has changed since
-  // follows it.
+  // For kinds with many pages: the first list may be stale and is followed by a
+  // read of the changes since then.
   bool stale_first_list = false;
-  // Such a list is followed by a pause first: it is good enough for as long.
+  // Pauses after the stale first list; it is recent enough for that time.
   bool pause_after_stale_list = false;
-  // Whether this mirror finds out that a lost store is back. The others are
-  // told and ask seldom by themselves, or an outage would cost each entry
-  // several calls a second.
+  // Whether this mirror probes a lost store frequently. The other mirrors are
+  // notified and retry rarely, since otherwise an outage would cost each
+  // gateway several calls a second.
   bool probes_lost_store = false;
 };
 
-// Follows all objects of one kind: a list, then watches from its revision.
+// Mirrors all objects of one kind: a list, then watches from its revision.
 //
-// Failures guarded against: a watch that goes silent (it waits shortly and has
-// a deadline), a history that was dropped (listed again, and objects that are
-// gone meanwhile show by their absence), a store that is away (asked again with
-// growing pauses).
+// Guards against a watch whose connection goes silent (waits are short and have
+// a deadline), compacted history (lists again; deleted objects show by their
+// absence) and an unavailable store (retries with increasing pauses).
 class KindMirror {
  public:
   struct Handlers {
-    // Everything that exists, after each list.
+    // All existing objects, after each list.
     std::function<void(std::vector<platform::StoredObject>&&)> listed;
     std::function<void(platform::StoredObject&&)> changed;
-    // What a watch has brought, also when that is nothing; before `changed`.
+    // The result of a watch, even if empty; called before `changed`.
     std::function<void(const StoreUpdate&)> update_read;
-    // A read that began at `began` has brought everything up to then.
+    // A read that began at `began` has completed; all changes up to then were
+    // delivered.
     std::function<void(TimePoint began)> read_completed;
   };
 
@@ -69,56 +68,57 @@
              MirrorSettings settings, Handlers handlers);
 
   void Start() { List(); }
-  // Makes no call from now on and drops the answers of those in flight.
+  // Makes no more calls and drops the responses of those in flight.
   void Stop();
-  // Ends a pause: what has changed is wanted now.
+  // Ends a pause and reads the changes now.
   void SkipPause();
-  // Another entry has written what has not come here: a watch that has waited
-  // for long has gone silent, and is made again.
+  // A peer has written a record that has not arrived here. A watch that has
+  // waited for long is considered silent and is replaced.
   void RenewWatch();
-  // Reads once more what has changed, from now on.
+  // Reads the changes again, from now on.
   void ReadAgain();
-  // Calls that were made while the store was silent may never be answered, so
-  // one in flight is given up and a list made.
+  // Cancels a call in flight and lists again: calls made during the outage may
+  // never be answered.
   void OnStoreRegained();
-  // Reads on a new connection what has changed: another entry knows of a change
-  // that has not come here, so the watch may have gone silent.
+  // Reads the changes on a new connection: a peer advertises a change that has
+  // not arrived here, so the watch may be silent.
   void Refresh();
 
-  // Whether other entries pass on what they read: no watch waits here
-  // meanwhile.
-  void SetReceivesUpdates(bool fed);
-  // What another entry has read. Where something is missing before it, the
-  // store is read once.
-  void OnStoreUpdate(StoreUpdate&& news);
+  // Whether peers forward what they read. If so, this mirror does not keep a
+  // watch of its own.
+  void SetReceivesUpdates(bool receives_updates);
+  // Applies what a peer has read. If changes before it are missing, reads the
+  // store once.
+  void OnStoreUpdate(StoreUpdate&& update);
 
   // Whether a list was ever read.
   bool listed() const noexcept { return revision_ != 0; }
-  // Whether what is known is not older than a watch takes. A list of some
-  // hundred records takes seconds at a small VM, and is that old when it is
-  // there.
+  // Whether the mirrored state is no older than a watch takes. Listing some
+  // hundred records takes seconds on a small VM, so the result is that old when
+  // it arrives.
   bool caught_up() const noexcept { return caught_up_; }
-  // Whether the last call succeeded: what is known is then the present state,
-  // but for the time that an event takes.
+  // Whether the last call succeeded. The mirrored state is then current, except
+  // for the time that an event takes to arrive.
   bool following() const noexcept { return following_; }
-  // The newest change seen of an object of this kind.
+  // Version of the newest change seen for an object of this kind.
   uint64_t newest_change() const noexcept { return newest_change_; }
 
  private:
   void List();
   void OnListed(platform::StoreAnswer&& answer);
   void Watch();
-  // A watch that does not wait: it is answered though nothing has changed.
+  // Starts a watch that does not wait; it returns even if nothing has changed.
   void ReadNow();
   void WatchFor(Duration wait);
   void ApplyChange(platform::StoredObject&& object);
-  // Until the pause is over or ended.
+  // Pauses before the next read; SkipPause() ends the pause early.
   void Pause();
   void OnWatched(platform::StoreAnswer&& answer);
-  // Whether the answer belongs to a call that Refresh() has overtaken.
+  // Wraps `handler` so that it ignores the response to a call that has been
+  // superseded, for example by Refresh().
   auto IfCurrent(void (KindMirror::*handler)(platform::StoreAnswer&&));
-  // Whether the news say all that has happened since what is known here.
-  bool IsContiguous(const StoreUpdate& news) const;
+  // Whether the update holds all changes since the mirrored state.
+  bool IsContiguous(const StoreUpdate& update) const;
   void EndPause();
   void ScheduleAfter(Duration pause, void (KindMirror::*next)());
   void Retry(void (KindMirror::*next)(), const platform::StoreAnswer& answer);
@@ -129,13 +129,13 @@
   boost::asio::steady_timer timer_;
   uint64_t revision_ = 0;
   uint64_t newest_change_ = 0;
-  KindDigest digest_;        // of what is known
-  uint64_t generation_ = 0;  // of Refresh()
+  KindDigest digest_;        // of the mirrored state
+  uint64_t generation_ = 0;  // counts superseded calls
   bool pausing_ = false;
-  bool retrying_ = false;  // waits to ask again after a failed call
+  bool retrying_ = false;  // waits to retry after a failed call
   uint64_t pause_number_ = 0;
   TimePoint call_began_{};
-  TimePoint up_to_date_at_{};  // all that had changed by then is known
+  TimePoint up_to_date_at_{};  // all changes up to then are mirrored
   TimePoint refreshed_at_{};
   bool following_ = false;
   bool caught_up_ = false;
@@ -143,9 +143,8 @@
   bool listing_ = false;
   bool stopped_ = false;
   bool receives_updates_ = false;
-  bool waiting_for_updates_ =
-      false;  // makes no call until there are news or a reason
-  bool immediate_read_ = false;  // the watch in flight does not wait
+  bool waiting_for_updates_ = false;  // makes no calls until triggered
+  bool immediate_read_ = false;       // the watch in flight does not wait
   uint32_t failures_ = 0;
 };
 
--- a/libs/gateway/src/store/lag_detector.h
+++ b/libs/gateway/src/store/lag_detector.h
@@ -8,31 +8,31 @@
 
 namespace knapweedstile::gateway {
 
-// Notices that what this entry knows stays behind what others tell.
+// Detects that the version known to this gateway stays behind the version that
+// peers advertise.
 //
-// Failure guarded against: a watch whose connection went silent looks like one
-// on which nothing happens. Others whose watches live are ahead, and stay so
-// for longer than a change takes to arrive.
+// Guards against a watch whose connection went silent, which is
+// indistinguishable from a watch without changes. Peers with working watches
+// are ahead for longer than a change takes to arrive.
 class LagDetector {
  public:
-  // Another entry knows version `advertised`; this one knows `own`.
+  // A peer knows version `advertised`; this gateway knows `own`.
   void OnAdvertised(uint64_t advertised, uint64_t own, TimePoint now) {
     if (advertised <= own) return;
     if (newest_advertised_ <= own) ahead_since_ = now;
     newest_advertised_ = std::max(newest_advertised_, advertised);
   }
-  // Whether others know a newer version, however lately they have advertised of
-  // it.
+  // Whether a peer knows a newer version, however recently it was advertised.
   bool PeersAhead(uint64_t own) const noexcept {
     return newest_advertised_ > own;
   }
   bool IsLagging(uint64_t own, TimePoint now) const {
-    return newest_advertised_ > own && now - ahead_since_ >= kUsualDelay;
+    return newest_advertised_ > own && now - ahead_since_ >= kExpectedDelay;
   }
 
  private:
   // Changes reach all watches within some ten milliseconds.
-  static constexpr std::chrono::milliseconds kUsualDelay{300};
+  static constexpr std::chrono::milliseconds kExpectedDelay{300};
 
   uint64_t newest_advertised_ = 0;
   TimePoint ahead_since_{};
--- a/libs/gateway/src/store/record_collector.cc
+++ b/libs/gateway/src/store/record_collector.cc
@@ -13,26 +13,26 @@
 namespace knapweedstile::gateway {
 namespace {
 
-constexpr std::chrono::seconds kSearchPause{1};
+constexpr std::chrono::seconds kSearchInterval{1};
 constexpr std::chrono::milliseconds kDeleteTimeout{1500};
-// A segment may be read before its job while a list is being made; much later
-// its job is gone.
-constexpr std::chrono::seconds kOrphanPatience{60};
+// A segment may be read before its job while a list is in progress. After this
+// time, its job is considered deleted.
+constexpr std::chrono::seconds kOrphanTimeout{60};
 
 }  // namespace
 
 RecordCollector::RecordCollector(
-    StoreCalls& store, const RecordKinds& kinds, serving::JobTable& book,
+    StoreCalls& store, const RecordKinds& kinds, serving::JobTable& jobs,
     Settings settings, std::function<bool(const std::string&)> collects)
     : store_(store),
       kinds_(kinds),
-      jobs_(book),
+      jobs_(jobs),
       settings_(settings),
       collects_job_(std::move(collects)) {}
 
 void RecordCollector::Run(TimePoint now) {
   if (now >= next_search_at_ && pending_deletes_.empty()) {
-    next_search_at_ = now + kSearchPause;
+    next_search_at_ = now + kSearchInterval;
     FindExpired(now);
     FindOrphans(now);
   }
@@ -63,12 +63,12 @@
 
 void RecordCollector::FindOrphans(TimePoint now) {
   const std::map<std::string, std::vector<uint32_t>> found = jobs_.Orphans();
-  std::erase_if(orphaned_since_, [&](const auto& known) {
-    return !found.contains(known.first);
+  std::erase_if(orphaned_since_, [&](const auto& orphan) {
+    return !found.contains(orphan.first);
   });
   for (const auto& [id, segments] : found) {
     const TimePoint since = orphaned_since_.try_emplace(id, now).first->second;
-    if (now - since < kOrphanPatience || !collects_job_(id)) continue;
+    if (now - since < kOrphanTimeout || !collects_job_(id)) continue;
     for (const uint32_t number : segments) {
       pending_deletes_.push_back(SegmentName(id, number));
     }
@@ -93,10 +93,11 @@
 void RecordCollector::OnDeleted(const std::string& name,
                                 const platform::StoreAnswer& answer) {
   in_flight_ = false;
-  const bool gone = answer.outcome == platform::StoreOutcome::kOk ||
-                    answer.outcome == platform::StoreOutcome::kNotFound;
-  // In its place, so that the job's own record still goes first.
-  if (!gone) pending_deletes_.push_front(name);
+  const bool deleted = answer.outcome == platform::StoreOutcome::kOk ||
+                       answer.outcome == platform::StoreOutcome::kNotFound;
+  // Retries it first, so that the job's own record is still deleted before the
+  // others.
+  if (!deleted) pending_deletes_.push_front(name);
 }
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/store/record_collector.h
+++ b/libs/gateway/src/store/record_collector.h
@@ -16,21 +16,22 @@
 class RecordKinds;
 class StoreCalls;
 
-// Deletes the records of jobs whose results need not be kept any longer:
+// Deletes the records of jobs whose results need not be kept any longer;
 // nothing in the store expires by itself.
 //
-// The job's own record goes first. Were it the last, an entry that starts in
-// between would find a job without its results and run it again. Records that
-// are left without their job, because a collector died, are found by that.
+// The job's own record is deleted first. If it were the last, a gateway that
+// starts during the deletion would find a job without its results and run it
+// again. Records that were left without their job because a collector crashed
+// are found as orphans.
 class RecordCollector {
  public:
   struct Settings {
-    // Since the entry learned of the job; a job that is open is kept.
+    // Time since the gateway learned of the job; an open job is kept.
     std::chrono::milliseconds retention{0};
   };
 
   RecordCollector(StoreCalls& store, const RecordKinds& kinds,
-                  serving::JobTable& book, Settings settings,
+                  serving::JobTable& jobs, Settings settings,
                   std::function<bool(const std::string& job)> collects);
 
   void Run(TimePoint now);
@@ -47,10 +48,9 @@
   Settings settings_;
   std::function<bool(const std::string&)> collects_job_;
   TimePoint next_search_at_{};
-  std::deque<std::string> pending_deletes_;  // records to be deleted, in order
+  std::deque<std::string> pending_deletes_;  // in order of deletion
   bool in_flight_ = false;
-  std::map<std::string, TimePoint>
-      orphaned_since_;  // jobs that are missing, since
+  std::map<std::string, TimePoint> orphaned_since_;  // by job id
 };
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/store/record_mirrors.cc
+++ b/libs/gateway/src/store/record_mirrors.cc
@@ -9,12 +9,13 @@
 namespace knapweedstile::gateway {
 namespace {
 
-// Records of other gateways are pushed by them, and a lost push or a silent
-// gateway ends the pause; the store is asked besides only to be sure.
-constexpr std::chrono::milliseconds kPause{60000};
-// The one kind of an undivided fleet grows with it: it is read again before the
-// store's history is gone, since a list may take a small VM's link for seconds.
-constexpr int kReadsInHistory = 2;
+// Peers push their records, and a lost push or a silent peer ends the pause;
+// this periodic read is only a safeguard.
+constexpr std::chrono::milliseconds kSafeguardInterval{60000};
+// The only kind of an undivided fleet grows with it. It is read again before
+// the store's history is compacted, since a list may occupy the link of a small
+// VM for seconds.
+constexpr int kReadsPerHistory = 2;
 
 }  // namespace
 
@@ -43,11 +44,12 @@
     if (!is_new) continue;
     followed->second.mirror = std::make_unique<KindMirror>(
         io_, store_,
-        MirrorSettings{.kind = kind,
-                       .pause = divided ? kPause : history_ / kReadsInHistory,
-                       .large_kind = true,
-                       .on_demand = true,
-                       .history_retention = history_},
+        MirrorSettings{
+            .kind = kind,
+            .pause = divided ? kSafeguardInterval : history_ / kReadsPerHistory,
+            .large_kind = true,
+            .on_demand = true,
+            .history_retention = history_},
         KindMirror::Handlers{.listed = handlers_.listed,
                              .changed = handlers_.changed,
                              .read_completed = [this, kind](TimePoint began) {
@@ -65,7 +67,7 @@
   ReportRead();
 }
 
-// Without any kind there is nothing to know.
+// Without any kinds, everything has been read.
 void RecordMirrors::ReportRead() {
   TimePoint began = MonotonicNow();
   for (const auto& [kind, followed] : mirrors_) {
--- a/libs/gateway/src/store/record_mirrors.h
+++ b/libs/gateway/src/store/record_mirrors.h
@@ -17,28 +17,28 @@
 
 class StoreCalls;
 
-// Follows the kinds of records that this gateway holds as if they were one.
+// Mirrors the record kinds that this gateway holds, with one interface for all.
 class RecordMirrors {
  public:
   struct Handlers {
     std::function<void(std::vector<platform::StoredObject>&&)> listed;
     std::function<void(platform::StoredObject&&)> changed;
-    // What existed at `began` is known, of all kinds.
+    // Everything that existed at `began` has been read, for all kinds.
     std::function<void(TimePoint began)> read_completed;
   };
 
   RecordMirrors(boost::asio::io_context& io, StoreCalls& store,
                 std::chrono::milliseconds history, Handlers handlers);
 
-  // From now on exactly these; the others' answers are dropped.
+  // Follows exactly these kinds from now on and drops responses for all others.
   void Follow(const std::vector<std::string>& kinds);
-  // Each does what KindMirror's command of that name does, for all kinds.
+  // Each calls the KindMirror function of the same name for all kinds.
   void SkipPause();
   void RenewWatch();
   void ReadAgain();
   void OnStoreRegained();
 
-  // Whether kinds were ever named, and all of them are caught up with.
+  // Whether Follow() was called and all kinds are caught up.
   bool caught_up() const;
 
  private:
@@ -56,7 +56,7 @@
   Handlers handlers_;
   bool following_ = false;
   std::map<std::string, Followed> mirrors_;  // by kind
-  // Calls in flight refer to their mirrors.
+  // Kept because calls in flight refer to them.
   std::vector<std::unique_ptr<KindMirror>> stopped_mirrors_;
 };
 
--- a/libs/gateway/src/store/store_calls.h
+++ b/libs/gateway/src/store/store_calls.h
@@ -17,8 +17,8 @@
 
 class StoreRelay;
 
-// Calls to the platform's store with a callback each, and what their outcomes
-// say of the store.
+// Calls the platform's store, with a callback for each call, and derives the
+// store's availability from the outcomes.
 class StoreCalls {
  public:
   using Callback = std::function<void(platform::StoreAnswer&&)>;
@@ -26,7 +26,8 @@
   StoreCalls(boost::asio::io_context& io, const std::string& address);
 
   void Call(platform::StoreCall&& call, TimePoint deadline, Callback callback);
-  // As Call(), but through another entry while the store does not answer here.
+  // Like Call(), but relayed through a peer while this gateway cannot reach the
+  // store.
   void CallDirectOrRelayed(platform::StoreCall&& call, TimePoint deadline,
                            Callback callback);
   void SetRelay(StoreRelay* relay) noexcept { relay_ = relay; }
@@ -34,16 +35,18 @@
                    uint64_t if_version, const std::string& value,
                    TimePoint deadline, Callback callback);
 
-  // Called when the store answers again after it was lost.
+  // Sets the handler that is called when the store responds again after an
+  // outage.
   void SetRegainedHandler(std::function<void()> handler) {
     regained_handler_ = std::move(handler);
   }
 
-  // Whether calls get through, here or through another entry.
+  // Whether calls can reach the store, directly or through a peer.
   bool reachable() const;
-  // False while the last calls went unanswered or were turned away.
+  // False while the last calls went unanswered or were rejected.
   bool available() const noexcept { return available_; }
-  // When the store was last regained; the start does not count.
+  // When the store last became available after an outage; zero if there was no
+  // outage since the start.
   TimePoint available_since() const noexcept { return available_since_; }
   uint64_t calls() const noexcept { return last_token_; }
 
--- a/libs/gateway/src/store/store_follower.cc
+++ b/libs/gateway/src/store/store_follower.cc
@@ -21,50 +21,50 @@
 
 using platform::StoredObject;
 
-// Operators' objects change seldom, and a change ends the wait. A watch that
-// has gone silent is found when it is over, so this is how late a change can
-// be.
+// Operators' objects change rarely, and a change ends the wait. A silent watch
+// is detected when its wait ends, so this bounds how late a change is seen.
 constexpr std::chrono::milliseconds kObjectWatchWait{20000};
-// Other entries' datagrams tell of a newer version within 0.3 s, and probes of
-// a connection that has gone silent within 3 s: the wait itself bounds nothing.
+// Peer datagrams advertise a newer version within 0.3 s, and keep-alive probes
+// detect a silent connection within 3 s, so the wait does not bound how late a
+// change is seen.
 constexpr std::chrono::milliseconds kConfigurationWatchWait{15000};
-// Servers change in groups, when they start, leave or are replaced; each change
-// would wake a watch of every entry. A draining server must be left within two
-// seconds.
+// Servers change in groups, when they start, leave or are replaced; without the
+// pause each change would end a watch on every gateway. A draining server must
+// receive no new requests within two seconds.
 constexpr std::chrono::milliseconds kServerPause{300};
-// A directory that takes longer to read must not hold up the rest.
-constexpr std::chrono::milliseconds kDirectoryPatience{150};
-// Gateways register in one moment when they all start.
+// A directory that takes longer to read must not delay the other kinds.
+constexpr std::chrono::milliseconds kDirectoryTimeout{150};
+// When all gateways start, they register at the same time.
 constexpr std::chrono::milliseconds kMemberPause{500};
-// Of reads through another entry: callers whose keys are gone ask for one each
-// time.
-constexpr std::chrono::milliseconds kConfigurationReadPause{1000};
+// Minimum interval between reads through a peer; each request with a removed
+// key triggers one.
+constexpr std::chrono::milliseconds kConfigurationReadInterval{1000};
 constexpr std::chrono::milliseconds kConfigurationReadTimeout{800};
 
-// Failure guarded against: a store that goes silent and comes back while a
-// watch waits. The watch then brings the removal of live servers whose entries
-// lapsed meanwhile, and nothing else tells that there was an outage. An entry
-// lapses after three heartbeats, so a watch that is over before then has
-// failed.
+// Guards against a store that goes silent and returns while a watch waits. The
+// watch then delivers the removal of live servers whose registrations expired
+// during the outage, and nothing else reveals the outage. A registration
+// expires after three heartbeats, so the watch must end, and fail, before then.
 std::chrono::milliseconds ServerWatchWait(std::chrono::milliseconds heartbeat) {
-  constexpr int kHeartbeatsToLapse = 3;
+  constexpr int kHeartbeatsToExpire = 3;
   constexpr std::chrono::milliseconds kTimeoutAndMargin{1000};
-  constexpr std::chrono::milliseconds kLeastWait{300};
-  return std::max(kLeastWait,
-                  heartbeat * kHeartbeatsToLapse - kTimeoutAndMargin);
+  constexpr std::chrono::milliseconds kMinWait{300};
+  return std::max(kMinWait,
+                  heartbeat * kHeartbeatsToExpire - kTimeoutAndMargin);
 }
 
 }  // namespace
 
 StoreFollower::StoreFollower(boost::asio::io_context& io,
                              const GatewaySettings& settings, StoreCalls& store,
-                             const PeerLink& peers, Callbacks ports)
+                             const PeerLink& peers, Callbacks callbacks)
     : own_name_(settings.name),
       store_(store),
       peers_(peers),
-      callbacks_(std::move(ports)),
+      callbacks_(std::move(callbacks)),
       update_link_(
-          io, [this](StoreUpdate&& news) { OnStoreUpdate(std::move(news)); }),
+          io,
+          [this](StoreUpdate&& update) { OnStoreUpdate(std::move(update)); }),
       configuration_(
           io, store,
           {.kind = users_platform::kConfigurationKind,
@@ -81,57 +81,60 @@
                  if (!object.deleted) callbacks_.configuration_read(object);
                },
            .update_read =
-               [this](const StoreUpdate& news) { ForwardToCell(news); }}),
-      servers_(io, store,
-               {.kind = users_platform::kServerKind,
-                .watch_wait = ServerWatchWait(settings.server_heartbeat),
-                .pause = kServerPause,
-                .stale_first_list = true},
-               {.listed =
-                    [this](std::vector<StoredObject>&& objects) {
-                      callbacks_.servers_listed(std::move(objects));
-                    },
-                .changed =
-                    [this](StoredObject&& object) {
-                      callbacks_.server_changed(std::move(object));
-                    },
-                .update_read =
-                    [this](const StoreUpdate& news) { ForwardToCell(news); }}),
-      objects_(io, store,
-               {.kind = kOperatorObjectsKind, .watch_wait = kObjectWatchWait},
-               {.listed =
-                    [this](std::vector<StoredObject>&& objects) {
-                      callbacks_.objects_listed(std::move(objects));
-                    },
-                .changed =
-                    [this](StoredObject&& object) {
-                      callbacks_.object_changed(std::move(object));
-                    },
-                .update_read =
-                    [this](const StoreUpdate& news) { ForwardToCell(news); }}),
-      members_(io, store,
-               {.kind = kMemberKind,
-                .watch_wait = kObjectWatchWait,
-                .pause = kMemberPause,
-                .stale_first_list = true,
-                .pause_after_stale_list = true,
-                .probes_lost_store = true},
-               {.listed =
-                    [this](std::vector<StoredObject>&& objects) {
-                      callbacks_.members_listed(std::move(objects));
-                      StartMirrors();
-                    },
-                .changed =
-                    [this](StoredObject&& object) {
-                      callbacks_.member_changed(std::move(object));
-                    },
-                .update_read =
-                    [this](const StoreUpdate& news) { ForwardToCell(news); }}) {
-}
+               [this](const StoreUpdate& update) { ForwardToCell(update); }}),
+      servers_(
+          io, store,
+          {.kind = users_platform::kServerKind,
+           .watch_wait = ServerWatchWait(settings.server_heartbeat),
+           .pause = kServerPause,
+           .stale_first_list = true},
+          {.listed =
+               [this](std::vector<StoredObject>&& objects) {
+                 callbacks_.servers_listed(std::move(objects));
+               },
+           .changed =
+               [this](StoredObject&& object) {
+                 callbacks_.server_changed(std::move(object));
+               },
+           .update_read =
+               [this](const StoreUpdate& update) { ForwardToCell(update); }}),
+      objects_(
+          io, store,
+          {.kind = kOperatorObjectsKind, .watch_wait = kObjectWatchWait},
+          {.listed =
+               [this](std::vector<StoredObject>&& objects) {
+                 callbacks_.objects_listed(std::move(objects));
+               },
+           .changed =
+               [this](StoredObject&& object) {
+                 callbacks_.object_changed(std::move(object));
+               },
+           .update_read =
+               [this](const StoreUpdate& update) { ForwardToCell(update); }}),
+      members_(
+          io, store,
+          {.kind = kMemberKind,
+           .watch_wait = kObjectWatchWait,
+           .pause = kMemberPause,
+           .stale_first_list = true,
+           .pause_after_stale_list = true,
+           .probes_lost_store = true},
+          {.listed =
+               [this](std::vector<StoredObject>&& objects) {
+                 callbacks_.members_listed(std::move(objects));
+                 StartMirrors();
+               },
+           .changed =
+               [this](StoredObject&& object) {
+                 callbacks_.member_changed(std::move(object));
+               },
+           .update_read =
+               [this](const StoreUpdate& update) { ForwardToCell(update); }}) {}
 
-// Who is there says whether this gateway follows the store by itself.
+// The member directory determines whether this gateway follows the store by
+// itself.
 void StoreFollower::Start() {
-  start_mirrors_at_ = MonotonicNow() + kDirectoryPatience;
+  start_mirrors_at_ = MonotonicNow() + kDirectoryTimeout;
   members_.Start();
 }
 
@@ -179,15 +182,16 @@
          readers_.end();
 }
 
-// Failure guarded against: a reader that is cut off from the store, stalls or
-// stops leaves its cell with what it knew. It is left out as soon as it says
-// so or is silent; whoever takes its place reads at once, and whoever has lost
-// the store itself looks for it again as if it were alone.
+// Guards against a cell that keeps stale state because its reader is
+// partitioned from the store, stalls or stops. The reader is excluded as soon
+// as it reports that or goes silent. A gateway that replaces it reads
+// immediately, and one that has lost the store itself probes it as if it were
+// alone.
 void StoreFollower::UpdateReaders(TimePoint now) {
-  std::vector<std::string> sound = peers_.HealthyPeersIn(cell_, now);
-  if (store_.available() && !stopping_) sound.push_back(own_name_);
+  std::vector<std::string> healthy = peers_.HealthyPeersIn(cell_, now);
+  if (store_.available() && !stopping_) healthy.push_back(own_name_);
   std::vector<std::string> readers =
-      ChooseReaders(std::move(sound), max_readers_, callbacks_.cores);
+      ChooseReaders(std::move(healthy), max_readers_, callbacks_.cores);
   if (readers != readers_) {
     LogInfo(
         "store_readers",
@@ -196,41 +200,44 @@
           cell_.availability_zone.empty() ? "all" : cell_.availability_zone}});
     readers_ = std::move(readers);
   }
-  const bool fed = !readers_.empty() && !IsReader() && store_.available();
-  const bool rests = now < wait_for_readers_until_ && store_.available();
-  configuration_.SetReceivesUpdates(fed || rests);
-  servers_.SetReceivesUpdates(fed || rests);
-  objects_.SetReceivesUpdates(fed || rests);
-  members_.SetReceivesUpdates(fed);
+  const bool has_readers =
+      !readers_.empty() && !IsReader() && store_.available();
+  const bool waits_for_readers =
+      now < wait_for_readers_until_ && store_.available();
+  configuration_.SetReceivesUpdates(has_readers || waits_for_readers);
+  servers_.SetReceivesUpdates(has_readers || waits_for_readers);
+  objects_.SetReceivesUpdates(has_readers || waits_for_readers);
+  members_.SetReceivesUpdates(has_readers);
 }
 
-void StoreFollower::ForwardToCell(const StoreUpdate& news) {
-  if (IsReader()) update_link_.Send(peers_.AddressesIn(cell_), news);
+void StoreFollower::ForwardToCell(const StoreUpdate& update) {
+  if (IsReader()) update_link_.Send(peers_.AddressesIn(cell_), update);
 }
 
-void StoreFollower::OnStoreUpdate(StoreUpdate&& news) {
-  if (news.kind == users_platform::kConfigurationKind) {
-    return configuration_.OnStoreUpdate(std::move(news));
+void StoreFollower::OnStoreUpdate(StoreUpdate&& update) {
+  if (update.kind == users_platform::kConfigurationKind) {
+    return configuration_.OnStoreUpdate(std::move(update));
   }
-  if (news.kind == users_platform::kServerKind) {
-    return servers_.OnStoreUpdate(std::move(news));
+  if (update.kind == users_platform::kServerKind) {
+    return servers_.OnStoreUpdate(std::move(update));
   }
-  if (news.kind == kMemberKind) return members_.OnStoreUpdate(std::move(news));
-  if (news.kind == kOperatorObjectsKind)
-    objects_.OnStoreUpdate(std::move(news));
+  if (update.kind == kMemberKind)
+    return members_.OnStoreUpdate(std::move(update));
+  if (update.kind == kOperatorObjectsKind)
+    objects_.OnStoreUpdate(std::move(update));
 }
 
 TimePoint StoreFollower::regained_at() const {
   return std::max(store_.available_since(), peer_regained_at_);
 }
 
-// Failure guarded against: a gateway that the store turns away goes on with the
-// keys and routes that it knew for as long as that lasts. Others tell that
-// there is a newer version, and one of them reads it for this one.
+// Guards against a gateway that is rejected by the store and continues with
+// stale keys and routes. Peers advertise a newer version, and one of them reads
+// it on behalf of this gateway.
 void StoreFollower::ReadConfiguration(TimePoint now) {
   if (store_.available()) return configuration_.Refresh();
   if (!store_.reachable()) return;
-  if (now - read_configuration_at_ < kConfigurationReadPause) return;
+  if (now - read_configuration_at_ < kConfigurationReadInterval) return;
   read_configuration_at_ = now;
   store_.CallDirectOrRelayed(
       platform::ReadRequest{.kind = users_platform::kConfigurationKind,
@@ -257,13 +264,12 @@
   return Remaining(now, configuration_stale_since_);
 }
 
-// What is known is the present state while the store answers and no other entry
-// is ahead.
+// The configuration is current while the store responds and no peer is ahead.
 void StoreFollower::UpdateConfigurationAge(TimePoint now) {
-  const bool present =
+  const bool current =
       store_.available() && configuration_.following() &&
       !configuration_lag_.PeersAhead(callbacks_.configuration_version());
-  if (present) {
+  if (current) {
     configuration_stale_since_ = kNever;
   } else if (configuration_stale_since_ == kNever) {
     configuration_stale_since_ = now;
--- a/libs/gateway/src/store/store_follower.h
+++ b/libs/gateway/src/store/store_follower.h
@@ -22,8 +22,8 @@
 struct GatewaySettings;
 struct PeerState;
 
-// Follows what operators and backend servers write to the store: by watches of
-// its own, or by what the readers of its cell pass on.
+// Follows what operators and backend servers write to the store, either with
+// watches of its own or through updates from the readers of its cell.
 class StoreFollower {
  public:
   struct Callbacks {
@@ -34,43 +34,47 @@
     std::function<void(platform::StoredObject&&)> object_changed;
     std::function<void(std::vector<platform::StoredObject>&&)> members_listed;
     std::function<void(platform::StoredObject&&)> member_changed;
-    // The version in force; zero: none.
+    // The active configuration version; zero if there is none.
     std::function<uint64_t()> configuration_version;
-    // Of a gateway; the strong ones read for the others.
+    // Number of cores of a gateway; those with more cores read on behalf of the
+    // others.
     std::function<double(const std::string& gateway)> cores;
   };
 
   StoreFollower(boost::asio::io_context& io, const GatewaySettings& settings,
-                StoreCalls& store, const PeerLink& peers, Callbacks ports);
+                StoreCalls& store, const PeerLink& peers, Callbacks callbacks);
 
   // Commands.
   void Start();
   void OnStoreRegained();
-  // News that another entry passes on.
+  // Handles a store update forwarded by a peer.
   void OnStoreUpdateRequest(const http::RequestEvent& request);
   void OnPeerState(const PeerState& state, TimePoint now);
-  // Whose readers this entry follows, and may be one of; how many it has.
+  // Sets the cell whose readers this gateway follows and may be one of, and the
+  // number of its readers.
   void SetCell(const serving::Cell& cell, size_t readers, TimePoint now);
-  // Of a gateway that has never been registered: until then it waits for its
-  // cell's readers instead of following the store by itself, as all gateways of
-  // a new fleet would.
+  // Makes a newly registered gateway wait for its cell's readers until `until`.
+  // Otherwise all gateways of a new fleet would follow the store by themselves.
   void SetWaitForReadersUntil(TimePoint until) noexcept {
     wait_for_readers_until_ = until;
   }
-  // This entry reads for no others from now on.
+  // This gateway no longer reads on behalf of others.
   void Stop() noexcept { stopping_ = true; }
-  // Chooses the readers anew and reads what others have been ahead of for long.
+  // Updates the choice of readers, and reads what peers have been ahead of for
+  // too long.
   void Run(TimePoint now);
-  // Reads the configuration once more, through another entry where the store
-  // does not answer here.
+  // Reads the configuration again, through a peer if this gateway cannot reach
+  // the store.
   void ReadConfiguration(TimePoint now);
 
   // Queries.
-  // Which entries follow the store for this cell; none: each by itself.
+  //
+  // The gateways that follow the store for this cell; empty if each does so by
+  // itself.
   const std::vector<std::string>& readers() const noexcept { return readers_; }
   bool IsReader() const;
-  // When the store came back last, as far as any entry tells; the start does
-  // not count.
+  // When the store last became available after an outage, according to this
+  // gateway or any peer; zero if there was no outage since the start.
   TimePoint regained_at() const;
   bool knows_servers() const noexcept { return servers_.listed(); }
   uint64_t newest_server_change() const noexcept {
@@ -79,17 +83,18 @@
   uint64_t newest_member_change() const noexcept {
     return members_.newest_change();
   }
-  // How long ago the configuration was last known to be the present one; zero:
-  // it is now.
+  // Time since the configuration was last known to be current; zero if it is
+  // current now.
   Duration ConfigurationAge(TimePoint now) const;
-  // Takes note of it; after each version as well.
+  // Updates what ConfigurationAge() returns; also called after each new
+  // version.
   void UpdateConfigurationAge(TimePoint now);
 
  private:
   void StartMirrors();
   void UpdateReaders(TimePoint now);
-  void ForwardToCell(const StoreUpdate& news);
-  void OnStoreUpdate(StoreUpdate&& news);
+  void ForwardToCell(const StoreUpdate& update);
+  void OnStoreUpdate(StoreUpdate&& update);
 
   std::string own_name_;
   StoreCalls& store_;
@@ -112,7 +117,7 @@
   TimePoint wait_for_readers_until_{};
   TimePoint peer_regained_at_{};
   TimePoint read_configuration_at_{};
-  // Since when the configuration may be an old one; kNever: it is the present.
+  // Since when the configuration may be stale; kNever if it is current.
   TimePoint configuration_stale_since_{};
 };
 
--- a/libs/gateway/src/store/store_relay.cc
+++ b/libs/gateway/src/store/store_relay.cc
@@ -20,9 +20,10 @@
 using platform::WriteRequest;
 
 constexpr char kTarget[] = "/store";
-// The helper's own call ends this much before the asker stops waiting.
-constexpr std::chrono::milliseconds kWayBack{50};
-constexpr std::chrono::milliseconds kLongestCall{1500};
+// The relaying peer's own call ends this much before the requesting gateway's
+// deadline.
+constexpr std::chrono::milliseconds kResponseMargin{50};
+constexpr std::chrono::milliseconds kMaxCallDuration{1500};
 
 std::string EncodeCall(const StoreCall& call, Duration budget) {
   json::object object = {{"budget_ms", ToMillis(budget)}};
@@ -73,7 +74,7 @@
   }
   json::error_code ec;
   const json::value parsed = json::parse(end.body, ec);
-  // The library reports a missing or mistyped field by an exception.
+  // Boost.JSON throws on a missing field or one of another type.
   try {
     if (!ec && end.status == 200) return DecodeAnswer(parsed.as_object());
   } catch (const std::exception& error) {
@@ -85,8 +86,8 @@
 
 }  // namespace
 
-StoreRelay::StoreRelay(boost::asio::io_context& io, Callbacks ports)
-    : callbacks_(std::move(ports)),
+StoreRelay::StoreRelay(boost::asio::io_context& io, Callbacks callbacks)
+    : callbacks_(std::move(callbacks)),
       client_(io, PeerClientSettings(), [this](http::ClientEvent&& event) {
         OnEvent(std::move(event));
       }) {}
@@ -104,7 +105,7 @@
 void StoreRelay::Call(const StoreCall& call, TimePoint deadline,
                       Callback callback) {
   const TimePoint now = MonotonicNow();
-  const TimePoint until = std::min(deadline, now + kLongestCall);
+  const TimePoint call_deadline = std::min(deadline, now + kMaxCallDuration);
   const std::string address = callbacks_.peer_address();
   const ExchangeId exchange(++last_exchange_);
   pending_calls_.emplace(exchange, std::move(callback));
@@ -113,8 +114,8 @@
       .address = address,
       .method = "POST",
       .target = kTarget,
-      .body = EncodeCall(call, Remaining(until - kWayBack, now)),
-      .deadline = until};
+      .body = EncodeCall(call, Remaining(call_deadline - kResponseMargin, now)),
+      .deadline = call_deadline};
   request.headers.Add("Host", address);
   client_.Send(std::move(request));
 }
--- a/libs/gateway/src/store/store_relay.h
+++ b/libs/gateway/src/store/store_relay.h
@@ -17,37 +17,39 @@
 
 namespace knapweedstile::gateway {
 
-// Calls to the store through another entry that still reaches it.
+// Calls the store through a peer that can still reach it.
 //
-// Failure guarded against: the store turns some entries away, or cannot be
-// reached from them, while it serves the others. Callers of those entries then
-// had all jobs refused, and finished items waited there, for as long as that
-// lasted. Creating a record is idempotent and reading is harmless, so both may
-// take this way; a missing answer means unknown, as on the direct way.
+// Guards against a store that rejects some gateways, or is unreachable from
+// them, while it serves others. Without the relay, all job submissions on those
+// gateways were rejected, and finished items waited there, for the whole
+// outage. Creating a record is idempotent and reading has no side effects, so
+// both may be relayed; a missing response means that the outcome is unknown, as
+// for direct calls.
 class StoreRelay {
  public:
   using Callback = std::function<void(platform::StoreAnswer&&)>;
   struct Callbacks {
-    // "IP:PORT" of a live entry that reaches the store, or empty.
+    // Returns "IP:PORT" of a live peer that reaches the store, or an empty
+    // string.
     std::function<std::string()> peer_address;
-    // Performs a call directly, for another entry.
+    // Performs a call directly, on behalf of a peer.
     std::function<void(platform::StoreCall&&, TimePoint deadline, Callback)>
         perform;
-    // Answers another entry's request.
+    // Responds to a peer's request.
     std::function<void(ExchangeId, std::string body)> respond;
   };
 
-  StoreRelay(boost::asio::io_context& io, Callbacks ports);
+  StoreRelay(boost::asio::io_context& io, Callbacks callbacks);
 
   static bool IsRelayTarget(std::string_view target);
   static bool MayRelay(const platform::StoreCall& call);
 
-  // Whether an entry is known that would pass calls on.
+  // Whether a peer is available to relay calls.
   bool usable() const { return !callbacks_.peer_address().empty(); }
-  // Exactly one answer follows.
+  // Calls `callback` exactly once.
   void Call(const platform::StoreCall& call, TimePoint deadline,
             Callback callback);
-  // Another entry asks for a call.
+  // Handles a peer's request to relay a call.
   void OnRequest(const http::RequestEvent& request);
 
  private:
--- a/libs/gateway/src/store/store_update.h
+++ b/libs/gateway/src/store/store_update.h
@@ -9,11 +9,12 @@
 
 namespace knapweedstile::gateway {
 
-// What one read of the store has brought, as one entry passes it to others.
+// The result of one store read, as a gateway forwards it to its peers.
 struct StoreUpdate {
   std::string kind;
-  uint64_t after = 0;  // revision that the read went on from
-  // Of what there was at `after`: who has the same lacks nothing before it.
+  uint64_t after = 0;  // revision that the read continued from
+  // Digest of the state at `after`: a mirror with the same digest lacks no
+  // earlier change.
   uint64_t digest_before = 0;
   uint64_t as_of = 0;  // complete up to this revision
   std::vector<platform::StoredObject> objects;
--- a/libs/gateway/src/store/store_update_link.cc
+++ b/libs/gateway/src/store/store_update_link.cc
@@ -14,8 +14,8 @@
 namespace json = boost::json;
 
 constexpr char kTarget[] = "/news";
-// Entries answer within milliseconds; one that does not reads the store once
-// it hears that it is behind.
+// Peers respond within milliseconds. One that does not reads the store once a
+// peer's report shows that it is behind.
 constexpr std::chrono::milliseconds kSendTimeout{600};
 
 }  // namespace
@@ -35,13 +35,13 @@
 }
 
 void StoreUpdateLink::Send(const std::vector<std::string>& addresses,
-                           const StoreUpdate& news) {
+                           const StoreUpdate& update) {
   const std::string body =
-      json::serialize(json::object{{"kind", news.kind},
-                                   {"after", news.after},
-                                   {"digest_before", news.digest_before},
-                                   {"as_of", news.as_of},
-                                   {"objects", ToJson(news.objects)}});
+      json::serialize(json::object{{"kind", update.kind},
+                                   {"after", update.after},
+                                   {"digest_before", update.digest_before},
+                                   {"as_of", update.as_of},
+                                   {"objects", ToJson(update.objects)}});
   for (const std::string& address : addresses) {
     http::ClientRequest request{.exchange = ExchangeId(++last_exchange_),
                                 .address = address,
@@ -57,7 +57,7 @@
 void StoreUpdateLink::OnRequest(const http::RequestEvent& request) {
   json::error_code ec;
   const json::value parsed = json::parse(request.body, ec);
-  // The library reports a missing or mistyped field by an exception.
+  // Boost.JSON throws on a missing field or one of another type.
   try {
     if (ec) throw boost::system::system_error(ec);
     const json::object& object = parsed.as_object();
--- a/libs/gateway/src/store/store_update_link.h
+++ b/libs/gateway/src/store/store_update_link.h
@@ -14,18 +14,20 @@
 
 namespace knapweedstile::gateway {
 
-// Passes what an entry has read from the store to the others of its cell.
+// Forwards what a gateway has read from the store to the other gateways in its
+// cell.
 //
-// Load: each entry following all kinds by itself costs calls in proportion to
-// the fleet, most of them watches of servers.
-// News that are lost show as a gap in the revisions, or in what other entries
-// tell of newer ones, and the store is read.
+// If each gateway followed all kinds by itself, store calls would grow in
+// proportion to the fleet; most are watches of servers. A lost update shows as
+// a gap in the revisions, or as a newer revision advertised by peers; the store
+// is then read.
 class StoreUpdateLink {
  public:
   StoreUpdateLink(boost::asio::io_context& io,
                   std::function<void(StoreUpdate&&)> received);
 
-  void Send(const std::vector<std::string>& addresses, const StoreUpdate& news);
+  void Send(const std::vector<std::string>& addresses,
+            const StoreUpdate& update);
   static bool IsTarget(std::string_view target);
   void OnRequest(const http::RequestEvent& request);
 
--- a/libs/gateway/src/store/stored_object_json.cc
+++ b/libs/gateway/src/store/stored_object_json.cc
@@ -20,8 +20,8 @@
 
 std::vector<platform::StoredObject> ObjectsFromJson(const json::array& list) {
   std::vector<platform::StoredObject> objects;
-  for (const json::value& entry : list) {
-    const json::object& stored = entry.as_object();
+  for (const json::value& element : list) {
+    const json::object& stored = element.as_object();
     objects.push_back({.kind = std::string(stored.at("kind").as_string()),
                        .name = std::string(stored.at("name").as_string()),
                        .version = stored.at("version").to_number<uint64_t>(),
--- a/libs/gateway/src/store/stored_object_json.h
+++ b/libs/gateway/src/store/stored_object_json.h
@@ -8,9 +8,9 @@
 
 namespace knapweedstile::gateway {
 
-// Objects of the store as entries pass them to each other.
+// JSON form in which gateways exchange store objects.
 boost::json::array ToJson(const std::vector<platform::StoredObject>& objects);
-// Throws std::exception when a field is missing or of another type.
+// Throws std::exception if a field is missing or of another type.
 std::vector<platform::StoredObject> ObjectsFromJson(
     const boost::json::array& list);
 
