--- a/libs/gateway/src/peers/gateway_registration.h
+++ b/libs/gateway/src/peers/gateway_registration.h
@@ -11,15 +11,16 @@
 
 class StoreCalls;
 
-// Writes to the store where this entry takes datagrams of the others, and tries
-// until it stands there.
+// Registers this gateway in the store: writes the address at which it receives
+// peer datagrams, and retries until the write succeeds.
 class GatewayRegistration {
  public:
   GatewayRegistration(boost::asio::io_context& io, StoreCalls& store,
-                      std::string entry, const cluster::Member& own);
+                      std::string gateway, const cluster::Member& own);
 
-  // `version` and `value` of the record that is there; zero: none. Nothing is
-  // written once it stands there as it should.
+  // Takes the `version` and `value` of the stored record; version 0 means that
+  // there is none. Writes nothing if the record is already correct. Only the
+  // first call has an effect.
   void Register(uint64_t version, const std::string& value);
 
  private:
--- a/libs/gateway/src/peers/member_records.cc
+++ b/libs/gateway/src/peers/member_records.cc
@@ -10,8 +10,9 @@
 namespace json = boost::json;
 
 constexpr std::string_view kPrefix = "node.";
-// Of a layout; more shards than gateways of any fleet would be a mistake.
-constexpr int64_t kMostShards = 1 << 16;
+// Upper bound for a valid layout; no fleet has this many gateways, so a larger
+// count is an error.
+constexpr int64_t kMaxShards = 1 << 16;
 
 std::optional<json::object> ParseObject(std::string_view text) {
   json::error_code ec;
@@ -20,7 +21,8 @@
   return std::move(parsed.get_object());
 }
 
-const json::string* TextOf(const json::object& object, std::string_view name) {
+const json::string* FindString(const json::object& object,
+                               std::string_view name) {
   const json::value* field = object.if_contains(name);
   return field ? field->if_string() : nullptr;
 }
@@ -45,8 +47,8 @@
 std::optional<cluster::Member> DecodeMember(std::string_view value) {
   const auto object = ParseObject(value);
   if (!object) return std::nullopt;
-  const json::string* address = TextOf(*object, "address");
-  const json::string* zone = TextOf(*object, "zone");
+  const json::string* address = FindString(*object, "address");
+  const json::string* zone = FindString(*object, "zone");
   if (!address || !zone) return std::nullopt;
   cluster::Member member{.address = std::string(*address),
                          .availability_zone = std::string(*zone)};
@@ -66,7 +68,7 @@
   const json::value* shards = object ? object->if_contains("shards") : nullptr;
   if (!shards || !shards->is_int64()) return std::nullopt;
   const int64_t count = shards->get_int64();
-  if (count < 1 || count > kMostShards) return std::nullopt;
+  if (count < 1 || count > kMaxShards) return std::nullopt;
   return cluster::FleetLayout{.shards = static_cast<uint32_t>(count)};
 }
 
--- a/libs/gateway/src/peers/member_records.h
+++ b/libs/gateway/src/peers/member_records.h
@@ -10,19 +10,19 @@
 
 namespace knapweedstile::gateway {
 
-// The directory of the fleet in the platform's store, a kind of its own:
+// Kind and record names of the fleet's member directory in the store:
 //
 //   node.NAME   a gateway's address and availability zone
-//   layout      how batch jobs are divided; created once
+//   layout      how batch jobs are divided into shards; created once
 inline constexpr char kMemberKind[] = "knapweedstile-members";
 inline constexpr char kLayoutName[] = "layout";
 
 std::string MemberRecordName(std::string_view gateway);
-// The gateway that the record is of; nothing for other records.
+// Returns the gateway that the record belongs to, or nothing for other records.
 std::optional<std::string> ParseMemberRecordName(std::string_view record);
 
 std::string EncodeMember(const cluster::Member& member);
-// Nothing when the text is not a member's record.
+// Returns nothing if the text is not a valid member record.
 std::optional<cluster::Member> DecodeMember(std::string_view value);
 std::string EncodeLayout(const cluster::FleetLayout& layout);
 std::optional<cluster::FleetLayout> DecodeLayout(std::string_view value);
--- a/libs/gateway/src/peers/peer_client_settings.h
+++ b/libs/gateway/src/peers/peer_client_settings.h
@@ -7,14 +7,14 @@
 
 namespace knapweedstile::gateway {
 
-// Of clients that call other entries: they answer within milliseconds, and one
-// that does not is cut off or gone.
+// Settings for HTTP clients that call peers. A peer responds within
+// milliseconds; one that does not is partitioned or terminated.
 inline http::ClientSettings PeerClientSettings() {
   constexpr std::chrono::milliseconds kConnectTimeout{300};
-  constexpr std::chrono::milliseconds kSilence{2000};
+  constexpr std::chrono::milliseconds kSilenceTimeout{2000};
   http::ClientSettings settings;
   settings.connect_timeout = kConnectTimeout;
-  settings.silence_timeout = kSilence;
+  settings.silence_timeout = kSilenceTimeout;
   settings.max_idle_per_address = 1;
   return settings;
 }
--- a/libs/gateway/src/peers/peer_link.cc
+++ b/libs/gateway/src/peers/peer_link.cc
@@ -14,18 +14,18 @@
 using asio::ip::udp;
 using boost::system::error_code;
 
-// Six messages at the slowest pace: fewer would take a few lost datagrams for
-// the end of an entry.
-constexpr std::chrono::milliseconds kSilenceUntilLost{1500};
-// Two lost datagrams are no stall. An entry that has been silent for longer has
-// no duties for others.
-constexpr std::chrono::milliseconds kStalled{700};
-constexpr size_t kMaxDatagram = 60000;
-constexpr int kCellsAtOnce = 3;
-// Summaries come once a second or more often while there is anything to tell.
+// Six messages at the slowest rate, so that a few lost datagrams do not make a
+// peer look terminated.
+constexpr std::chrono::milliseconds kPeerTimeout{1500};
+// Longer than two lost datagrams. A peer that has been silent for longer is
+// stalled and gets no duties for others.
+constexpr std::chrono::milliseconds kStallThreshold{700};
+constexpr size_t kMaxDatagramBytes = 60000;
+constexpr int kRemoteGatewaysPerMessage = 3;
+// Summaries are sent at least once a second while there is anything to report.
 constexpr std::chrono::seconds kSummaryLifetime{5};
 
-std::optional<udp::endpoint> ParseUdp(const std::string& address) {
+std::optional<udp::endpoint> ParseEndpoint(const std::string& address) {
   const size_t colon = address.rfind(':');
   if (colon == std::string::npos) return std::nullopt;
   error_code ec;
@@ -48,8 +48,8 @@
       rng_(start) {}
 
 Result<bool> PeerLink::Listen(const std::string& ip, uint32_t port) {
-  const auto endpoint = ParseUdp(ip + ":" + std::to_string(port));
-  if (!endpoint) return Fail(ErrorCode::kInvalid, "not an address: " + ip);
+  const auto endpoint = ParseEndpoint(ip + ":" + std::to_string(port));
+  if (!endpoint) return Fail(ErrorCode::kInvalid, "not an IP address: " + ip);
   error_code ec;
   socket_.open(endpoint->protocol(), ec);
   if (!ec) socket_.bind(*endpoint, ec);
@@ -59,33 +59,31 @@
   return true;
 }
 
-void PeerLink::SetAddress(const std::string& entry,
-                          const std::string& address) {
-  if (entry == name_) return;
-  const auto endpoint = ParseUdp(address);
+void PeerLink::SetAddress(const std::string& name, const std::string& address) {
+  if (name == name_) return;
+  const auto endpoint = ParseEndpoint(address);
   if (!endpoint) {
-    LogWarning("peer_address_invalid",
-               {{"entry", entry}, {"address", address}});
+    LogWarning("peer_address_invalid", {{"entry", name}, {"address", address}});
     return;
   }
-  addresses_[entry] = *endpoint;
+  addresses_[name] = *endpoint;
 }
 
-void PeerLink::RemoveAddress(const std::string& entry) {
-  addresses_.erase(entry);
+void PeerLink::RemoveAddress(const std::string& name) {
+  addresses_.erase(name);
 }
 
 void PeerLink::Receive() {
   socket_.async_wait(udp::socket::wait_read, [this](const error_code& ec) {
     if (ec) return;
-    std::array<char, kMaxDatagram> buffer;
+    std::array<char, kMaxDatagramBytes> buffer;
     while (true) {
       error_code failed;
       udp::endpoint sender;
       const size_t count =
           socket_.receive_from(asio::buffer(buffer), sender, 0, failed);
       if (failed == asio::error::would_block) break;
-      // An unreachable peer's refusal shows here as an error of the socket.
+      // An ICMP error from an unreachable peer surfaces as a socket error.
       if (failed) continue;
       OnDatagram({buffer.data(), count}, sender);
     }
@@ -99,19 +97,20 @@
   if (!state || state->gateway == name_) return;
   if (state->summary) return OnSummary(*state);
   if (!IsPeer(*state)) {
-    // Another cell asks for a slot of this one's batch items.
+    // A gateway in another cell requests the slot of a batch item of this one.
     if (!state->yield_instance.empty())
       handlers_.preemption_requested(state->yield_instance);
     return;
   }
-  // Who has just started knows the others from the store before they know it.
-  // Not answering it would let it take this entry for dead and its jobs over.
+  // A peer that has just started knows this gateway from the store before this
+  // gateway knows it. Without a reply it would consider this gateway terminated
+  // and take over its jobs.
   addresses_.insert_or_assign(state->gateway, sender);
   if (!state->yield_instance.empty()) {
     return handlers_.preemption_requested(state->yield_instance);
   }
-  const auto [known, is_new] = peers_.try_emplace(state->gateway);
-  Peer& peer = known->second;
+  const auto [element, is_new] = peers_.try_emplace(state->gateway);
+  Peer& peer = element->second;
   const bool older = std::pair(state->start, state->sequence) <=
                      std::pair(peer.state.start, peer.state.sequence);
   if (!is_new && older) return;
@@ -134,13 +133,13 @@
 
 std::vector<std::string> PeerLink::KeepPeers(
     const std::set<std::string>& peers) {
-  std::erase_if(addresses_, [&peers](const auto& known) {
-    return !peers.contains(known.first);
+  std::erase_if(addresses_, [&peers](const auto& element) {
+    return !peers.contains(element.first);
   });
   std::vector<std::string> dropped;
-  std::erase_if(peers_, [&](const auto& known) {
-    if (peers.contains(known.first)) return false;
-    dropped.push_back(known.first);
+  std::erase_if(peers_, [&](const auto& element) {
+    if (peers.contains(element.first)) return false;
+    dropped.push_back(element.first);
     return true;
   });
   return dropped;
@@ -149,7 +148,7 @@
 void PeerLink::SetRemoteGateways(const std::vector<std::string>& addresses) {
   remote_gateways_.clear();
   for (const std::string& address : addresses) {
-    if (const auto endpoint = ParseUdp(address)) {
+    if (const auto endpoint = ParseEndpoint(address)) {
       remote_gateways_.push_back(*endpoint);
     }
   }
@@ -159,7 +158,7 @@
   std::vector<uint64_t> items = std::move(peer.state.running_items);
   std::string zone = std::move(peer.state.availability_zone);
   peer.state = state;
-  peer.expires_at = MonotonicNow() + kSilenceUntilLost;
+  peer.expires_at = MonotonicNow() + kPeerTimeout;
   if (state.partial) {
     peer.state.running_items = std::move(items);
     peer.state.availability_zone = zone;
@@ -171,14 +170,14 @@
 
 void PeerLink::SendTo(const udp::endpoint& to, const std::string& datagram) {
   error_code ec;
-  // Soft state: what is not sent now is in the next message.
+  // Send errors are ignored: the state is soft and the next message repeats it.
   socket_.send_to(asio::buffer(datagram), to, 0, ec);
 }
 
 void PeerLink::SetCells(const cluster::CellMap& cells) {
   peers_by_cell_.clear();
-  for (const auto& [entry, peer] : peers_) {
-    peers_by_cell_[cells.CellOf(entry)].push_back(entry);
+  for (const auto& [name, peer] : peers_) {
+    peers_by_cell_[cells.CellOf(name)].push_back(name);
   }
 }
 
@@ -192,14 +191,14 @@
 void PeerLink::Broadcast(PeerState state) {
   if (addresses_.empty()) return;
   const std::string datagram = Encode(state);
-  for (const auto& [entry, address] : addresses_) SendTo(address, datagram);
+  for (const auto& [name, address] : addresses_) SendTo(address, datagram);
 }
 
 void PeerLink::AdvertiseToOtherCells(PeerState state) {
   if (remote_gateways_.empty()) return;
   state.summary = true;
   const std::string datagram = Encode(state);
-  for (int sent = 0; sent < kCellsAtOnce; ++sent) {
+  for (int sent = 0; sent < kRemoteGatewaysPerMessage; ++sent) {
     SendTo(remote_gateways_[UniformBelow(rng_, remote_gateways_.size())],
            datagram);
   }
@@ -213,20 +212,20 @@
 }
 
 void PeerLink::BroadcastByCell(PeerState state, const CellUsage& usage_in) {
-  for (const auto& [cell, entries] : peers_by_cell_) {
+  for (const auto& [cell, names] : peers_by_cell_) {
     state.usage = usage_in(cell);
     if (state.usage.empty()) continue;
     const std::string datagram = Encode(state);
-    for (const std::string& entry : entries) {
-      const auto address = addresses_.find(entry);
+    for (const std::string& name : names) {
+      const auto address = addresses_.find(name);
       if (address != addresses_.end()) SendTo(address->second, datagram);
     }
   }
 }
 
-void PeerLink::RequestPreemption(const std::string& entry,
+void PeerLink::RequestPreemption(const std::string& name,
                                  const std::string& instance) {
-  const auto address = addresses_.find(entry);
+  const auto address = addresses_.find(name);
   if (address == addresses_.end()) return;
   PeerState state;
   state.yield_instance = instance;
@@ -245,44 +244,44 @@
     lost.emplace_back(peer.first, peer.second.state.draining);
     return true;
   });
-  for (const auto& [entry, draining] : lost) {
-    LogInfo("peer_lost", {{"entry", entry}, {"draining", draining}});
-    handlers_.peer_lost(entry, draining);
+  for (const auto& [name, draining] : lost) {
+    LogInfo("peer_lost", {{"entry", name}, {"draining", draining}});
+    handlers_.peer_lost(name, draining);
   }
   if (!lost.empty()) handlers_.membership_changed();
 }
 
 std::vector<std::string> PeerLink::ActivePeers() const {
-  std::vector<std::string> entries;
-  for (const auto& [entry, peer] : peers_) {
-    if (!peer.state.draining) entries.push_back(entry);
+  std::vector<std::string> names;
+  for (const auto& [name, peer] : peers_) {
+    if (!peer.state.draining) names.push_back(name);
   }
-  return entries;
+  return names;
 }
 
-bool PeerLink::IsActivePeer(const std::string& entry) const {
-  const auto peer = peers_.find(entry);
+bool PeerLink::IsActivePeer(const std::string& name) const {
+  const auto peer = peers_.find(name);
   return peer != peers_.end() && !peer->second.state.draining;
 }
 
 std::map<std::string, std::string> PeerLink::Zones() const {
   std::map<std::string, std::string> zones;
-  for (const auto& [entry, peer] : peers_) {
-    zones[entry] = peer.state.availability_zone;
+  for (const auto& [name, peer] : peers_) {
+    zones[name] = peer.state.availability_zone;
   }
   return zones;
 }
 
 std::map<std::string, std::string> PeerLink::LiveAddresses() const {
   std::map<std::string, std::string> live;
-  for (const auto& [entry, address] : addresses_) {
-    if (peers_.contains(entry)) live[entry] = AddressOf(entry);
+  for (const auto& [name, address] : addresses_) {
+    if (peers_.contains(name)) live[name] = AddressOf(name);
   }
   return live;
 }
 
-std::string PeerLink::AddressOf(const std::string& entry) const {
-  const auto address = addresses_.find(entry);
+std::string PeerLink::AddressOf(const std::string& name) const {
+  const auto address = addresses_.find(name);
   if (address == addresses_.end()) return {};
   return address->second.address().to_string() + ":" +
          std::to_string(address->second.port());
@@ -290,14 +289,14 @@
 
 std::string PeerLink::AddressOfPeerWithStore(
     const std::vector<std::string>& preferred) const {
-  for (const std::string& entry : preferred) {
-    const auto peer = peers_.find(entry);
+  for (const std::string& name : preferred) {
+    const auto peer = peers_.find(name);
     if (peer == peers_.end() || !peer->second.state.store_available) continue;
-    return AddressOf(entry);
+    return AddressOf(name);
   }
-  for (const auto& [entry, peer] : peers_) {
-    if (peer.state.store_available && addresses_.contains(entry)) {
-      return AddressOf(entry);
+  for (const auto& [name, peer] : peers_) {
+    if (peer.state.store_available && addresses_.contains(name)) {
+      return AddressOf(name);
     }
   }
   return {};
@@ -306,33 +305,33 @@
 std::vector<std::string> PeerLink::PeersIn(const serving::Cell& cell) const {
   if (cell == serving::Cell()) {
     std::vector<std::string> all;
-    for (const auto& [entry, peer] : peers_) all.push_back(entry);
+    for (const auto& [name, peer] : peers_) all.push_back(name);
     return all;
   }
-  const auto entries = peers_by_cell_.find(cell);
-  return entries == peers_by_cell_.end() ? std::vector<std::string>()
-                                         : entries->second;
+  const auto names = peers_by_cell_.find(cell);
+  return names == peers_by_cell_.end() ? std::vector<std::string>()
+                                       : names->second;
 }
 
 std::vector<std::string> PeerLink::HealthyPeersIn(const serving::Cell& cell,
                                                   TimePoint now) const {
-  std::vector<std::string> sound;
-  for (const std::string& entry : PeersIn(cell)) {
-    const auto found = peers_.find(entry);
+  std::vector<std::string> healthy;
+  for (const std::string& name : PeersIn(cell)) {
+    const auto found = peers_.find(name);
     if (found == peers_.end()) continue;
     const Peer& peer = found->second;
-    const Duration silence = now - (peer.expires_at - kSilenceUntilLost);
-    if (silence > kStalled || peer.state.draining) continue;
-    if (peer.state.store_available) sound.push_back(entry);
+    const Duration silence = now - (peer.expires_at - kPeerTimeout);
+    if (silence > kStallThreshold || peer.state.draining) continue;
+    if (peer.state.store_available) healthy.push_back(name);
   }
-  return sound;
+  return healthy;
 }
 
 std::vector<std::string> PeerLink::AddressesIn(
     const serving::Cell& cell) const {
   std::vector<std::string> addresses;
-  for (const std::string& entry : PeersIn(cell)) {
-    if (addresses_.contains(entry)) addresses.push_back(AddressOf(entry));
+  for (const std::string& name : PeersIn(cell)) {
+    if (addresses_.contains(name)) addresses.push_back(AddressOf(name));
   }
   return addresses;
 }
--- a/libs/gateway/src/peers/peer_link.h
+++ b/libs/gateway/src/peers/peer_link.h
@@ -18,29 +18,33 @@
 
 namespace knapweedstile::gateway {
 
-// Datagrams between entries: who uses which slots, who runs which batch items,
-// who is alive. Soft state that expires; nothing is agreed on by it.
+// Exchanges UDP datagrams with peers: slot usage, running batch items and
+// liveness. The state is soft and expires; no agreement between gateways
+// depends on it.
 class PeerLink {
  public:
   struct Handlers {
     std::function<void(const PeerState&)> state_received;
     std::function<void(const std::string& instance)> preemption_requested;
-    // A new process of an entry, or one that was not heard of for a while.
-    std::function<void(const std::string& entry)> peer_started;
-    // `draining`: it had said that it leaves.
-    std::function<void(const std::string& entry, bool draining)> peer_lost;
-    // The entries that are heard of are others, or one has told its zone.
+    // A peer process was seen for the first time, or its reports resumed after
+    // a timeout.
+    std::function<void(const std::string& peer)> peer_started;
+    // The peer's reports expired. `draining`: its last report announced a
+    // shutdown.
+    std::function<void(const std::string& peer, bool draining)> peer_lost;
+    // The set of live peers changed, or a peer's availability zone became known
+    // or changed.
     std::function<void()> membership_changed;
-    // Whether a gateway of that name and zone is a peer of this one; the zone
-    // is empty where the message does not name it.
+    // Returns whether a gateway with this name and zone is a peer of this one.
+    // The zone is empty if the message does not name it.
     std::function<bool(const std::string& gateway, const std::string& zone)>
         is_peer;
-    // What a gateway of another cell tells.
+    // A summary from a gateway in another cell.
     std::function<void(const PeerState&)> summary_received;
-    // It has not told anything for a while.
+    // No summary was received from the gateway within the timeout.
     std::function<void(const std::string& gateway)> summary_expired;
   };
-  // What there is to tell of the servers of a cell.
+  // Returns the changed usage of the servers in a cell.
   using CellUsage =
       std::function<serving::UsageByProcess(const serving::Cell&)>;
 
@@ -48,49 +52,52 @@
            Handlers handlers);
 
   Result<bool> Listen(const std::string& ip, uint32_t port);
-  // The other entries as they registered themselves: name to "IP:PORT".
-  void SetAddress(const std::string& entry, const std::string& address);
-  void RemoveAddress(const std::string& entry);
-  // Forgets all that are not among `peers`; names of those that were heard of.
+  // Sets a peer's registered address, "IP:PORT".
+  void SetAddress(const std::string& name, const std::string& address);
+  void RemoveAddress(const std::string& name);
+  // Removes all peers that are not in `peers`. Returns the names of the removed
+  // peers that were live.
   std::vector<std::string> KeepPeers(const std::set<std::string>& peers);
-  // Gateways of other cells, which get summaries.
+  // Sets the gateways in other cells that receive summaries.
   void SetRemoteGateways(const std::vector<std::string>& addresses);
 
-  // Which entry is in which cell from now on.
+  // Assigns the live peers to cells.
   void SetCells(const cluster::CellMap& cells);
 
-  // Sends the own state to every entry. `state` needs no name and number.
+  // Sends this gateway's state to every peer. Sets its gateway name, start and
+  // sequence number.
   void Broadcast(PeerState state);
-  // Sends it to a few gateways of other cells, by lot: what one cell has read
-  // of the store reaches all, also where a cell's reader is cut off or stalls.
+  // Sends `state` to a few randomly chosen gateways in other cells. This
+  // spreads what one cell has read from the store to all cells, even if a
+  // cell's reader is partitioned or stalled.
   void AdvertiseToOtherCells(PeerState state);
-  // Sends it to the gateways of other cells.
+  // Sends `state` to all gateways in other cells.
   void BroadcastSummary(PeerState state);
-  // Sends the entries of each cell what has changed there, with the rest of
-  // `state`; nothing where nothing has changed.
+  // Sends the peers in each cell that cell's usage changes, together with the
+  // rest of `state`. Cells without changes get no message.
   void BroadcastByCell(PeerState state, const CellUsage& usage_in);
-  void RequestPreemption(const std::string& entry, const std::string& instance);
-  // Forgets entries that fell silent.
+  void RequestPreemption(const std::string& name, const std::string& instance);
+  // Removes peers and summaries whose timeout has passed.
   void Expire(TimePoint now);
 
-  // Entries heard of lately that take new batch work, without the own one.
+  // Live peers that are not draining.
   std::vector<std::string> ActivePeers() const;
-  // Whether the entry is one of them.
-  bool IsActivePeer(const std::string& entry) const;
-  // Addresses ("IP:PORT") of all entries heard of lately.
+  bool IsActivePeer(const std::string& name) const;
+  // Addresses ("IP:PORT") of all live peers, by name.
   std::map<std::string, std::string> LiveAddresses() const;
-  // Address of a live entry whose calls the store answers, first one of
-  // `preferred`; empty if there is none.
+  // Address of a live peer that can reach the store, preferably one of
+  // `preferred`. Empty if there is none.
   std::string AddressOfPeerWithStore(
       const std::vector<std::string>& preferred) const;
-  // Entries of the cell that were heard just now, reach the store and stay.
+  // Peers in the cell that are not stalled, can reach the store and are not
+  // draining.
   std::vector<std::string> HealthyPeersIn(const serving::Cell& cell,
                                           TimePoint now) const;
-  // Addresses of the cell's entries, without the own one.
+  // Addresses of the peers in the cell.
   std::vector<std::string> AddressesIn(const serving::Cell& cell) const;
-  // Whether another live entry runs the item.
+  // Whether a live peer runs the item.
   bool IsRunningOnPeer(uint64_t item) const;
-  // Availability zones of the entries heard of lately.
+  // Availability zones of the live peers, by name.
   std::map<std::string, std::string> Zones() const;
 
  private:
@@ -100,15 +107,15 @@
   };
 
   void Receive();
-  // "IP:PORT"; empty when the entry is not known.
-  std::string AddressOf(const std::string& entry) const;
+  // "IP:PORT"; empty if the peer's address is unknown.
+  std::string AddressOf(const std::string& name) const;
   void OnDatagram(std::string_view datagram,
                   const boost::asio::ip::udp::endpoint& sender);
   bool IsPeer(const PeerState& state) const;
   void OnSummary(const PeerState& state);
-  // Keeps what a message told.
+  // Stores a received state and extends the peer's expiry.
   void UpdatePeer(Peer& peer, const PeerState& state, bool is_new);
-  // Names and numbers the message.
+  // Sets the sender's name, start and the next sequence number, and serializes.
   std::string Encode(PeerState& state);
   void SendTo(const boost::asio::ip::udp::endpoint& to,
               const std::string& datagram);
@@ -123,7 +130,7 @@
   std::vector<boost::asio::ip::udp::endpoint> remote_gateways_;
   Rng rng_;
   std::map<std::string, TimePoint> summaries_expire_at_;
-  // Entries heard of lately; of the whole fleet for the cell of all.
+  // Live peers in the cell; all live peers if `cell` is the undivided one.
   std::vector<std::string> PeersIn(const serving::Cell& cell) const;
 
   std::map<serving::Cell, std::vector<std::string>> peers_by_cell_;
--- a/libs/gateway/src/peers/peer_state.cc
+++ b/libs/gateway/src/peers/peer_state.cc
@@ -5,7 +5,7 @@
 namespace knapweedstile::gateway {
 namespace {
 
-// False when the lists that run in parallel differ in length.
+// Returns false if the parallel lists differ in length.
 bool ReadUsage(const wire::PeerStateMessage& message, PeerState& state) {
   const int count = message.usage_process_size();
   if (message.usage_online_size() != count ||
@@ -32,12 +32,12 @@
     message.add_former_workspace(former.workspace);
     message.add_former_in_window(former.in_window);
   }
-  for (const workspaces::GatewayHash entry : rate.unreachable) {
-    message.add_unreachable(entry);
+  for (const workspaces::GatewayHash gateway : rate.unreachable) {
+    message.add_unreachable(gateway);
   }
 }
 
-// False when the lists that run in parallel differ in length.
+// Returns false if the parallel lists differ in length.
 bool ReadRate(const wire::RateMessage& message, workspaces::RateReport& rate) {
   rate.uptime = std::chrono::milliseconds(message.uptime_millis());
   rate.fleet_size = message.entries();
@@ -96,9 +96,9 @@
     crash.set_fingerprint(count.fingerprint);
     crash.set_breaks(count.breaks);
   }
-  for (const auto& [entry, count] : state.filled) {
+  for (const auto& [gateway, count] : state.filled) {
     wire::FilledMessage& filled = *message.add_filled();
-    filled.set_entry(entry);
+    filled.set_entry(gateway);
     filled.set_start(count.start);
     filled.set_count(count.count);
   }
@@ -111,7 +111,7 @@
   wire::PeerStateMessage message;
   const int size = static_cast<int>(datagram.size());
   if (!message.ParseFromArray(datagram.data(), size)) return std::nullopt;
-  // Bytes of another sender may happen to be a message with nothing in it.
+  // Bytes from an unrelated sender may parse as an empty message.
   if (message.entry().empty()) return std::nullopt;
   PeerState state{
       .gateway = message.entry(),
--- a/libs/gateway/src/peers/peer_state.h
+++ b/libs/gateway/src/peers/peer_state.h
@@ -15,39 +15,41 @@
 
 namespace knapweedstile::gateway {
 
-// What one entry tells the others. A lost datagram is made good by the next
-// whole one.
+// The state that a gateway sends to its peers. The next full message
+// compensates for a lost datagram.
 struct PeerState {
   std::string gateway;
-  std::string availability_zone;  // of the entry; whole messages only
-  uint64_t start = 0;     // a later start of the same entry has a higher one
-  uint64_t sequence = 0;  // of this message, within one start
+  std::string availability_zone;  // of the gateway; full messages only
+  uint64_t start = 0;     // higher for each later start of the same gateway
+  uint64_t sequence = 0;  // number of this message within one start
   bool draining = false;  // starts no new batch items
-  bool store_available = false;  // the store answers its calls
-  // How long ago it did so again after it was lost; zero: never lost.
+  bool store_available = false;  // the sender can reach the store
+  // Time since the store became reachable again after an outage, in
+  // milliseconds; zero if it was never unreachable.
   uint64_t store_regained_millis_ago = 0;
   uint64_t records = 0;           // records written to the store since `start`
-  uint64_t configuration = 0;     // version in force
-  uint64_t servers_revision = 0;  // newest change of a backend server's entry
-  uint64_t members_revision = 0;  // newest change of the fleet's directory
-  // True: `usage` holds only what changed since the last message, and
-  // `running_items` nothing. Whole messages come in between, so that a lost one
-  // is made good soon.
+  uint64_t configuration = 0;     // active version
+  uint64_t servers_revision = 0;  // newest change of a backend server's record
+  uint64_t members_revision = 0;  // newest change of the member directory
+  // True for a delta: `usage` holds only what changed since the last message,
+  // and `running_items` is empty. Periodic full messages compensate for lost
+  // deltas.
   bool partial = false;
-  // True: of a gateway of another cell; holds crashes and rates only.
+  // True for a message from a gateway in another cell, which holds only crashes
+  // and rates.
   bool summary = false;
   serving::UsageByProcess usage;
-  // Batch items that this entry runs, as hashes of their ids.
+  // Hashes of the ids of the batch items that the sender runs.
   std::vector<uint64_t> running_items;
-  // Requests that broke servers; whole messages only.
+  // Requests that crashed servers; full messages only.
   std::vector<serving::CrashCount> crashes;
-  // Entries whose records the sender has read from the store lately, where a
-  // push was lost; whole messages only.
+  // Gateways whose records the sender recently read from the store because a
+  // push was lost; full messages only.
   std::map<std::string, RecordCount> filled;
-  // Requests of workspaces that the sender has admitted.
+  // Requests that the sender has admitted, by workspace.
   workspaces::RateReport rate;
-  // Not empty: the receiver is asked to give up the slot of one batch item on
-  // this backend server.
+  // If not empty, requests that the receiver preempt one batch item on this
+  // backend server.
   std::string yield_instance;
 };
 
--- a/libs/gateway/src/peers/progress_link.cc
+++ b/libs/gateway/src/peers/progress_link.cc
@@ -14,19 +14,19 @@
 namespace json = boost::json;
 
 constexpr char kTarget[] = "/progress";
-// The next notes follow within a second.
+// The next updates follow within a second.
 constexpr std::chrono::milliseconds kSendTimeout{600};
 
-ProgressLink::Updates ReadNotes(const json::array& list) {
-  ProgressLink::Updates notes;
-  for (const json::value& entry : list) {
-    const json::object& note = entry.as_object();
-    notes.push_back({.job = std::string(note.at("job").as_string()),
-                     .item = std::string(note.at("item").as_string()),
-                     .last_event = note.at("last").to_number<uint64_t>(),
-                     .output = std::string(note.at("output").as_string())});
+ProgressLink::Updates ParseUpdates(const json::array& list) {
+  ProgressLink::Updates updates;
+  for (const json::value& element : list) {
+    const json::object& update = element.as_object();
+    updates.push_back({.job = std::string(update.at("job").as_string()),
+                       .item = std::string(update.at("item").as_string()),
+                       .last_event = update.at("last").to_number<uint64_t>(),
+                       .output = std::string(update.at("output").as_string())});
   }
-  return notes;
+  return updates;
 }
 
 }  // namespace
@@ -37,7 +37,7 @@
       client_(io, PeerClientSettings(), [](http::ClientEvent&& event) {
         const auto* end = std::get_if<http::EndEvent>(&event);
         if (!end || end->outcome == http::ClientOutcome::kComplete) return;
-        // The next notes make up for it.
+        // The next updates compensate for it.
         LogInfo("progress_not_sent",
                 {{"outcome", NameOf(end->outcome)}, {"reason", end->message}});
       }) {}
@@ -46,13 +46,13 @@
   return target == kTarget;
 }
 
-void ProgressLink::Send(const std::string& address, const Updates& notes) {
+void ProgressLink::Send(const std::string& address, const Updates& updates) {
   json::array list;
-  for (const serving::ProgressUpdate& note : notes) {
-    list.push_back(json::object{{"job", note.job},
-                                {"item", note.item},
-                                {"last", note.last_event},
-                                {"output", note.output}});
+  for (const serving::ProgressUpdate& update : updates) {
+    list.push_back(json::object{{"job", update.job},
+                                {"item", update.item},
+                                {"last", update.last_event},
+                                {"output", update.output}});
   }
   http::ClientRequest request{.exchange = ExchangeId(++last_exchange_),
                               .address = address,
@@ -67,10 +67,10 @@
 void ProgressLink::OnRequest(const http::RequestEvent& request) {
   json::error_code ec;
   const json::value parsed = json::parse(request.body, ec);
-  // The library reports a missing or mistyped field by an exception.
+  // Boost.JSON throws on a missing field or one of another type.
   try {
     if (ec) throw boost::system::system_error(ec);
-    received_(ReadNotes(parsed.as_array()));
+    received_(ParseUpdates(parsed.as_array()));
   } catch (const std::exception& error) {
     LogWarning("progress_invalid", {{"reason", error.what()}});
   }
--- a/libs/gateway/src/peers/progress_link.h
+++ b/libs/gateway/src/peers/progress_link.h
@@ -14,12 +14,13 @@
 
 namespace knapweedstile::gateway {
 
-// Tells another entry how far items have come. Soft state: a note that is lost
-// costs the events since the one before.
+// Sends the progress of batch items to a peer. The state is soft: a lost update
+// costs the events since the previous one.
 //
-// Failure guarded against: an entry that is killed or stopped takes with it
-// what its items have produced. At entries that are restarted in turn each item
-// is begun again at every stop, and those of ten seconds are never in time.
+// Guards against losing the output of running items when their gateway is
+// killed or stopped. During a rolling restart each item would be restarted from
+// the beginning at every stop, and items of ten seconds would never complete in
+// time.
 class ProgressLink {
  public:
   using Updates = std::vector<serving::ProgressUpdate>;
@@ -27,7 +28,7 @@
   ProgressLink(boost::asio::io_context& io,
                std::function<void(Updates&&)> received);
 
-  void Send(const std::string& address, const Updates& notes);
+  void Send(const std::string& address, const Updates& updates);
   static bool IsTarget(std::string_view target);
   void OnRequest(const http::RequestEvent& request);
 
--- a/libs/gateway/src/peers/reader_choice.h
+++ b/libs/gateway/src/peers/reader_choice.h
@@ -8,20 +8,22 @@
 
 namespace knapweedstile::gateway {
 
-// Entries of a cell that follow the store for the others: with two, one that
-// stalls is made up for before it is noticed.
+// Gateways of a cell that follow the store on behalf of the others. With two,
+// the other one covers for a stalled reader before the stall is detected.
 inline constexpr size_t kReadersPerCell = 2;
-// In a divided fleet, whose cells are many: a second one in each would double
-// the calls.
+// In a divided fleet, which has many cells: a second reader in each would
+// double the store calls.
 inline constexpr size_t kReadersPerDividedCell = 1;
 
-// The readers of a cell, from its entries that are heard and reach the store;
-// all who see the same entries choose the same. No election: two that disagree
-// for a moment read twice.
-// Those with at least half the cores of the strongest come first.
+// Chooses at most `max_readers` readers of a cell from its healthy gateways
+// that reach the store. The choice depends only on the candidates, so gateways
+// that see the same candidates agree without an election. While views differ,
+// both choices read the store.
+//
+// Gateways with at least half the cores of the strongest come first.
 std::vector<std::string> ChooseReaders(
-    std::vector<std::string> entries, size_t most,
-    const std::function<double(const std::string& entry)>& cores);
+    std::vector<std::string> gateways, size_t max_readers,
+    const std::function<double(const std::string& gateway)>& cores);
 
 }  // namespace knapweedstile::gateway
 
--- a/libs/gateway/src/peers/record_codec.cc
+++ b/libs/gateway/src/peers/record_codec.cc
@@ -11,16 +11,17 @@
 namespace zlib = boost::beast::zlib;
 using boost::system::error_code;
 
-// Larger than any value of the store: a size beyond it is no record's.
-constexpr uint64_t kMostValueBytes = 4 << 20;
-// The fastest: what it leaves in is a tenth of what it takes out.
-constexpr int kLevel = 1;
+// Larger than any stored value; a greater size is invalid.
+constexpr uint64_t kMaxValueBytes = 4 << 20;
+// The fastest level: what it fails to remove is a tenth of what it removes.
+constexpr int kCompressionLevel = 1;
 constexpr int kWindowBits = 15;
 constexpr int kMemoryLevel = 8;
 
-std::string Deflated(std::string_view text) {
+std::string Compress(std::string_view text) {
   zlib::deflate_stream stream;
-  stream.reset(kLevel, kWindowBits, kMemoryLevel, zlib::Strategy::normal);
+  stream.reset(kCompressionLevel, kWindowBits, kMemoryLevel,
+               zlib::Strategy::normal);
   std::string packed(stream.upper_bound(text.size()), '\0');
   zlib::z_params params;
   params.next_in = text.data();
@@ -28,14 +29,14 @@
   params.next_out = packed.data();
   params.avail_out = packed.size();
   error_code ec;
-  // Ends with `end_of_stream`: the room is enough for any text.
+  // Ends with `end_of_stream`: the buffer is large enough for any text.
   stream.write(params, zlib::Flush::finish, ec);
   packed.resize(params.total_out);
   return packed;
 }
 
-std::optional<std::string> Inflated(std::string_view packed, uint64_t size) {
-  if (size > kMostValueBytes) return std::nullopt;
+std::optional<std::string> Decompress(std::string_view packed, uint64_t size) {
+  if (size > kMaxValueBytes) return std::nullopt;
   zlib::inflate_stream stream;
   std::string text(size, '\0');
   zlib::z_params params;
@@ -51,21 +52,21 @@
 
 }  // namespace
 
-// Fields of a message may stand in pieces one after the other, so that a packed
-// record can be put behind the others as it is.
+// Serialized protobuf messages can be concatenated: repeated fields are merged,
+// so a packed record can be appended to a message as it is.
 std::string PackRecord(const StoreRecord& record) {
   wire::RecordPushMessage message;
   wire::PackedRecordMessage& packed = *message.add_records();
   packed.set_name(record.name);
-  packed.set_packed(Deflated(record.value));
+  packed.set_packed(Compress(record.value));
   packed.set_size(record.value.size());
   return message.SerializeAsString();
 }
 
-std::string EncodePush(std::string_view entry, uint64_t start, uint64_t count,
+std::string EncodePush(std::string_view gateway, uint64_t start, uint64_t count,
                        std::string_view packed_records) {
   wire::RecordPushMessage message;
-  message.set_entry(std::string(entry));
+  message.set_entry(std::string(gateway));
   message.set_start(start);
   message.set_count(count);
   std::string text = message.SerializeAsString();
@@ -82,7 +83,7 @@
                        .start = message.start(),
                        .count = message.count()};
   for (const wire::PackedRecordMessage& record : message.records()) {
-    auto value = Inflated(record.packed(), record.size());
+    auto value = Decompress(record.packed(), record.size());
     if (!value) return std::nullopt;
     pushed.records.push_back({record.name(), std::move(*value)});
   }
--- a/libs/gateway/src/peers/record_codec.h
+++ b/libs/gateway/src/peers/record_codec.h
@@ -11,25 +11,26 @@
 
 namespace knapweedstile::gateway {
 
-// Records of one entry in one message to another.
+// Records of one gateway, as sent to a peer in one message.
 struct PushedRecords {
   std::string gateway;
-  uint64_t start = 0;  // of the entry's process
-  uint64_t count = 0;  // written by it, up to the last of these
+  uint64_t start = 0;  // identifies the gateway's process
+  uint64_t count = 0;  // number it has written, up to the last of these
   std::vector<StoreRecord> records;
 };
 
-// A record's place in any message, deflated: made once for all receivers.
+// Serializes a record, compressed, so that the result can be appended to any
+// message. It is made once for all receivers.
 //
-// Load: a job's record or a result is some ten kilobytes and goes to every
-// other entry in one moment. A small VM's link takes a tenth of a second for
-// it, in which events of its callers' streams wait.
+// Compression reduces the delay of streamed events. A job record or result is
+// some ten kilobytes and goes to every peer at once, which occupies the link of
+// a small VM for a tenth of a second.
 std::string PackRecord(const StoreRecord& record);
 
-// A message of packed records.
-std::string EncodePush(std::string_view entry, uint64_t start, uint64_t count,
+// Builds a message from concatenated results of PackRecord().
+std::string EncodePush(std::string_view gateway, uint64_t start, uint64_t count,
                        std::string_view packed_records);
-// Nothing where the bytes are no such message.
+// Returns nothing if the bytes are not a valid message.
 std::optional<PushedRecords> DecodePush(std::string_view message);
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/peers/record_count.h
+++ b/libs/gateway/src/peers/record_count.h
@@ -5,9 +5,9 @@
 
 namespace knapweedstile::gateway {
 
-// Records that an entry has written to the store since it started.
+// Number of records that a gateway process has written to the store.
 struct RecordCount {
-  uint64_t start = 0;  // of its process
+  uint64_t start = 0;  // identifies the process
   uint64_t count = 0;
 };
 
--- a/libs/gateway/src/peers/record_push.cc
+++ b/libs/gateway/src/peers/record_push.cc
@@ -15,16 +15,17 @@
 namespace {
 
 constexpr char kTarget[] = "/records";
-// An entry that does not take records in this time is cut off or overloaded; it
-// then reads them from the store.
+// A peer that does not accept records in this time is partitioned or
+// overloaded; it then reads them from the store.
 constexpr std::chrono::milliseconds kPushTimeout{600};
-constexpr unsigned kTaken = 200;
-// One message: below the largest value of the store.
+constexpr unsigned kAccepted = 200;
+// Limit for one message; smaller than the largest value in the store.
 constexpr size_t kMaxMessageBytes = 900 << 10;
 
-// Far beyond what the callers' server reaches.
+// Beyond any exchange id that the caller-facing server reaches.
 constexpr uint64_t kFirstExchange = 1ULL << 62;
-// Gateways of other cells call seldom; their connections are not kept for long.
+// Gateways in other cells call rarely, so their connections are not kept for
+// long.
 constexpr std::chrono::milliseconds kIdleTimeout{5000};
 
 http::ServerSettings PushServerSettings() {
@@ -36,8 +37,8 @@
   return settings;
 }
 
-// Zero where there is no number: nothing is confirmed then.
-uint64_t CountOf(const std::string& text) {
+// Returns 0, which acknowledges nothing, if the text is not a number.
+uint64_t ParseCount(const std::string& text) {
   uint64_t count = 0;
   std::from_chars(text.data(), text.data() + text.size(), count);
   return count;
@@ -80,7 +81,7 @@
                       const std::map<std::string, std::string>& addresses) {
   ++count_;
   const auto shared = std::make_shared<const std::string>(PackRecord(record));
-  for (const auto& [entry, address] : addresses) {
+  for (const auto& [peer, address] : addresses) {
     Outbox& outbox = outboxes_[address];
     outbox.records.push_back(shared);
     outbox.count = count_;
@@ -120,14 +121,16 @@
   const std::string& address = found.mapped();
   Outbox& outbox = outboxes_[address];
   outbox.in_flight = false;
-  const bool taken =
-      end->outcome == http::ClientOutcome::kComplete && end->status == kTaken;
-  if (taken) {
-    // What the receiver says, not what was sent: an answer that came too late
-    // is made up for by the next, and a gap before this message is not hidden.
-    OnAcknowledged(address, CountOf(end->body));
+  const bool accepted = end->outcome == http::ClientOutcome::kComplete &&
+                        end->status == kAccepted;
+  if (accepted) {
+    // The count that the receiver reports, not what was sent: the next response
+    // compensates for one that came too late, and a gap before this message is
+    // not hidden.
+    OnAcknowledged(address, ParseCount(end->body));
   } else {
-    // The receiver sees by the count that it lacks records and asks the store.
+    // The receiver detects the missing records by the advertised count and
+    // reads the store.
     LogWarning("push_failed", {{"address", address},
                                {"outcome", NameOf(end->outcome)},
                                {"dropped", outbox.records.size()}});
@@ -145,13 +148,13 @@
 
 uint64_t RecordPush::AcknowledgedBy(
     const std::map<std::string, std::string>& addresses) const {
-  uint64_t heard = count_;
-  for (const auto& [entry, address] : addresses) {
+  uint64_t acknowledged = count_;
+  for (const auto& [peer, address] : addresses) {
     const auto outbox = outboxes_.find(address);
     if (outbox == outboxes_.end()) return 0;
-    heard = std::min(heard, outbox->second.acknowledged);
+    acknowledged = std::min(acknowledged, outbox->second.acknowledged);
   }
-  return heard;
+  return acknowledged;
 }
 
 bool RecordPush::OnRequest(http::ServerEvent&& event) {
@@ -165,12 +168,13 @@
     other_handler_(std::move(*request));
     return true;
   }
-  http::RespondCommand answer{.exchange = request->exchange, .status = kTaken};
+  http::RespondCommand answer{.exchange = request->exchange,
+                              .status = kAccepted};
   if (auto pushed = DecodePush(request->body)) {
-    const uint64_t known =
+    const uint64_t received =
         handlers_.received(pushed->gateway, pushed->start, pushed->count,
                            std::move(pushed->records));
-    answer.body = std::to_string(known);
+    answer.body = std::to_string(received);
   } else {
     LogWarning("push_invalid", {{"bytes", request->body.size()}});
     answer.status = 400;
--- a/libs/gateway/src/peers/record_push.h
+++ b/libs/gateway/src/peers/record_push.h
@@ -17,61 +17,66 @@
 
 namespace knapweedstile::gateway {
 
-// Sends records that this entry has written to the store straight to the other
-// entries, so that they need not ask the store for each.
+// Sends records that this gateway has written to the store directly to its
+// peers, so that they need not read each from the store.
 //
-// The store stays the only truth: a record is pushed after it is written. What
-// does not arrive is found by the count that each entry tells in its datagrams
-// (peer_state.h), and is then read from the store. Without the push every
-// record costs a call of every entry: two thirds of all calls.
+// The store remains the source of truth: a record is pushed after it is
+// written. Peers detect lost pushes by the record count that each gateway
+// advertises in its datagrams (peer_state.h), and then read the store. Without
+// the push, every record would cost a store call on every gateway, two thirds
+// of all calls.
 class RecordPush {
  public:
   struct Handlers {
-    // Records of another entry; `count` is how many it has written by then.
-    // Returns how many of them are known here without a gap.
-    std::function<uint64_t(const std::string& entry, uint64_t start,
+    // Records from a peer; `count` is the number of records it has written so
+    // far. Returns how many of its records this gateway has received without a
+    // gap.
+    std::function<uint64_t(const std::string& peer, uint64_t start,
                            uint64_t count, std::vector<StoreRecord>&& records)>
         received;
-    // Another entry has acknowledged records of this one.
+    // A peer has acknowledged records of this gateway.
     std::function<void()> acknowledged;
   };
 
   RecordPush(boost::asio::io_context& io, std::string name, uint64_t start,
              Handlers handlers);
 
-  // Requests for other targets go to `handler`.
+  // Sets the handler of requests for other targets.
   void SetOtherHandler(
       std::function<void(http::RequestEvent&& request)> handler) {
     other_handler_ = std::move(handler);
   }
-  // A gateway no longer waits for the answer to its request.
+  // Sets the handler that is called when a peer disconnects before its request
+  // is answered.
   void SetDisconnectHandler(std::function<void(ExchangeId exchange)> handler) {
     disconnect_handler_ = std::move(handler);
   }
   Result<bool> Listen(const std::string& address);
   void Respond(ExchangeId exchange, std::string body);
-  // Whether the exchange is of another gateway's request; and its answer.
+  // Whether the exchange belongs to a request from a peer, as opposed to a
+  // caller.
   static bool IsPeerExchange(ExchangeId exchange);
   void Execute(http::ServerCommand&& command);
-  // Queues a record, just written, for the entries at `addresses`.
+  // Queues a record that was just written for the peers at `addresses`.
   void Push(const StoreRecord& record,
             const std::map<std::string, std::string>& addresses);
-  // The entry at `address` has read the store: it has this entry's records up
-  // to `count`.
+  // Notes that the peer at `address` has all records of this gateway up to
+  // `count`.
   void OnAcknowledged(const std::string& address, uint64_t count);
-  // How many of this entry's records each of the entries at `addresses` has.
+  // Number of this gateway's records that all peers at `addresses` have
+  // acknowledged.
   uint64_t AcknowledgedBy(
       const std::map<std::string, std::string>& addresses) const;
-  // Records written by this entry since its start.
+  // Number of records written by this gateway process.
   uint64_t count() const noexcept { return count_; }
 
  private:
   struct Outbox {
-    // Packed once for all entries.
+    // Packed once and shared by all peers.
     std::deque<std::shared_ptr<const std::string>> records;
-    uint64_t count = 0;  // written when the last of them was
+    uint64_t count = 0;  // records written up to the last queued one
     bool in_flight = false;
-    uint64_t acknowledged = 0;  // the entry has all records up to this one
+    uint64_t acknowledged = 0;  // the peer has all records up to this count
   };
   void SendNext(const std::string& address);
   void OnSent(http::ClientEvent&& event);
--- a/libs/gateway/src/peers/state_publisher.cc
+++ b/libs/gateway/src/peers/state_publisher.cc
@@ -11,28 +11,28 @@
 namespace knapweedstile::gateway {
 namespace {
 
-// A change of usage is told at once, but messages keep this distance for each
-// other entry of the cell, so that an entry sends a thousand a second at most.
-// Each millisecond of it lets entries take the same slot.
-constexpr std::chrono::milliseconds kPausePerEntry{1};
-// Without a change, often enough that silence is noticed soon.
-constexpr std::chrono::milliseconds kHeartbeat{250};
+// Minimum interval between deltas per peer in the cell. It limits a gateway to
+// a thousand datagrams per second; each millisecond of delay lets gateways
+// reserve the same slot.
+constexpr std::chrono::milliseconds kDeltaIntervalPerPeer{1};
+// Interval of full messages; short enough to detect unreachable gateways soon.
+constexpr std::chrono::milliseconds kFullStateInterval{250};
 
 }  // namespace
 
 StatePublisher::StatePublisher(boost::asio::io_context& io, PeerLink& peers,
-                               const serving::SlotScheduler& board,
-                               workspaces::RateQuota& rate, Callbacks ports)
+                               const serving::SlotScheduler& scheduler,
+                               workspaces::RateQuota& rate, Callbacks callbacks)
     : peers_(peers),
-      scheduler_(board),
+      scheduler_(scheduler),
       rate_(rate),
-      callbacks_(std::move(ports)),
+      callbacks_(std::move(callbacks)),
       timer_(io) {}
 
 void StatePublisher::OnUsageChanged() {
   if (std::exchange(armed_, true)) return;
   const TimePoint due =
-      published_at_ + kPausePerEntry * (gateways_in_cell_ - 1);
+      published_at_ + kDeltaIntervalPerPeer * (gateways_in_cell_ - 1);
   timer_.expires_at(std::max(MonotonicNow(), due));
   timer_.async_wait([this](const boost::system::error_code& ec) {
     if (!ec) PublishDelta(MonotonicNow());
@@ -90,7 +90,7 @@
 }
 
 void StatePublisher::Run(TimePoint now) {
-  if (now - full_published_at_ >= kHeartbeat) PublishFull(now);
+  if (now - full_published_at_ >= kFullStateInterval) PublishFull(now);
 }
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/peers/state_publisher.h
+++ b/libs/gateway/src/peers/state_publisher.h
@@ -22,37 +22,39 @@
 
 class PeerLink;
 
-// Tells the other entries which slots this one has taken or left and what it
-// has admitted: changes soon and to the server's cell, everything to all at a
-// steady pace.
+// Publishes this gateway's slot usage and admitted requests to its peers:
+// deltas without delay to the server's cell, and the full state to all peers
+// periodically.
 class StatePublisher {
  public:
   struct Callbacks {
-    // What each message holds beside usage and rates.
+    // Returns the fields that every message carries besides usage and rates.
     std::function<PeerState()> base_state;
-    // What whole messages hold besides.
+    // Adds the fields that only full messages carry.
     std::function<void(PeerState& state, TimePoint now)> add_full_state;
-    // What other cells are told; nothing: there is nothing to tell.
+    // Returns the summary for other cells, or nothing if there is nothing to
+    // report.
     std::function<std::optional<PeerState>(TimePoint now)> summary;
   };
 
   StatePublisher(boost::asio::io_context& io, PeerLink& peers,
-                 const serving::SlotScheduler& board,
-                 workspaces::RateQuota& rate, Callbacks ports);
+                 const serving::SlotScheduler& scheduler,
+                 workspaces::RateQuota& rate, Callbacks callbacks);
 
-  // This one included.
-  void SetGatewaysInCell(size_t entries) noexcept {
-    gateways_in_cell_ = entries;
+  // The number includes this gateway.
+  void SetGatewaysInCell(size_t gateways) noexcept {
+    gateways_in_cell_ = gateways;
   }
   void OnUsageChanged();
   void PublishFull(TimePoint now);
-  // Where the last whole message is old.
+  // Publishes the full state if the heartbeat interval has passed.
   void Run(TimePoint now);
 
  private:
   void PublishDelta(TimePoint now);
   void PublishSummary(TimePoint now);
-  // What has changed since it was last told; told from now on.
+  // Returns the usage that changed since the last message and marks it as
+  // published.
   serving::UsageByProcess TakeUsageDelta();
 
   PeerLink& peers_;
--- a/libs/gateway/src/peers/store_record.h
+++ b/libs/gateway/src/peers/store_record.h
@@ -5,7 +5,7 @@
 
 namespace knapweedstile::gateway {
 
-// One of the system's own objects in the store (job_records.h).
+// A record that the gateways keep in the store (see job_records.h).
 struct StoreRecord {
   std::string name;
   std::string value;
--- a/libs/gateway/src/peers/sync_tracker.h
+++ b/libs/gateway/src/peers/sync_tracker.h
@@ -11,76 +11,84 @@
 
 namespace knapweedstile::gateway {
 
-// Whether this entry has all records that the others have written, judged by
-// the counts that they tell. No network, clock or thread.
+// Tracks whether this gateway has received all records that its peers have
+// written, based on the counts that they advertise. Pure logic: no I/O, no
+// clock, no threads; the caller passes the time.
 //
-// Failure guarded against: a record that was pushed to all but this entry, or
-// an entry that this one cannot hear. A caller who has read a result elsewhere
-// would find nothing here. It shows as a count that stays ahead of what was
-// received, or as silence; the store is then asked.
+// Guards against a record that was pushed to all gateways but this one, and
+// against a peer that this gateway cannot reach. A caller who has read a result
+// on a peer would not find it here. Either shows as an advertised count that
+// stays ahead of the received one, or as missing reports; the store is then
+// read.
 class SyncTracker {
  public:
-  // Commands: what was heard of another entry's records.
-  // An entry is registered that may not have been heard yet.
-  void AddPeer(const std::string& entry, TimePoint now);
-  void OnAdvertisedCount(const std::string& entry, uint64_t start,
+  // Commands.
+  //
+  // Adds a registered peer, from which no report may have been received yet.
+  void AddPeer(const std::string& name, TimePoint now);
+  void OnAdvertisedCount(const std::string& name, uint64_t start,
                          uint64_t count, TimePoint now);
-  void OnReceived(const std::string& entry, uint64_t start, uint64_t before,
+  void OnReceived(const std::string& name, uint64_t start, uint64_t before,
                   uint64_t count, TimePoint now);
-  // A read of the store that began at `began` has ended well: what was counted
-  // before then is known.
+  // A store read that began at `began` has succeeded; records advertised before
+  // then have been received.
   void OnStoreRead(TimePoint began, TimePoint now);
-  // This process stood still: what it holds for heard just now may be old, so
-  // it counts only after the store has been read.
+  // This process was paused. Reports that appear recent may be old, so they
+  // count only after the store has been read.
   void OnPaused(TimePoint now);
-  // The entry said that it leaves: its silence then hides nothing.
-  void RemovePeer(const std::string& entry);
+  // The peer announced its shutdown, so its missing reports hide no records.
+  void RemovePeer(const std::string& name);
 
-  // Queries. Whether the store must be asked now.
+  // Queries.
+  //
+  // Whether the store must be read now.
   bool NeedsStoreRead(TimePoint now) const;
-  // Whether records that others count have been missing here for so long that
-  // nothing should be begun that one of them may forbid.
+  // Whether advertised records have been missing for so long that no work
+  // should start that one of them may rule out.
   bool HasGap(TimePoint now) const;
-  // Entries whose records were read from the store lately instead of being
-  // pushed: what they may take for known here.
+  // Peers whose records were recently read from the store instead of being
+  // pushed, with the count that each may consider acknowledged.
   std::map<std::string, RecordCount> RecentlyRecovered(TimePoint now) const;
-  // The entry's records that are known here without a gap.
-  uint64_t ReceivedFrom(const std::string& entry) const;
-  // Whether the store was read, since the last pause as well, and no gap stays.
+  // Number of the peer's records that were received without a gap.
+  uint64_t ReceivedFrom(const std::string& name) const;
+  // Whether the store has been read since the start and the last pause, and no
+  // gap remains.
   bool IsComplete(TimePoint now) const;
-  // Whether every record that another entry may have shown to a caller is known
-  // here. False before the first read of the store.
+  // Whether this gateway has received every record that a peer may have shown
+  // to a caller. False before the first store read.
   bool IsCurrent(TimePoint now) const;
 
-  // Command: a caller waits for the answer to Current().
+  // Command: a caller waits for a response that depends on IsCurrent().
   void OnCallerWaiting(TimePoint now) { caller_waiting_at_ = now; }
 
  private:
-  // When a count above what is known here was first advertised.
+  // An advertised count above the received one, and when it was first
+  // advertised.
   struct PendingCount {
     uint64_t count = 0;
     TimePoint advertised_at{};
   };
   struct Peer {
     uint64_t start = 0;
-    uint64_t advertised = 0;  // records it says it has written
-    uint64_t received = 0;    // of these, known here
-    // Counts above `received`, in order.
+    uint64_t advertised = 0;  // records it reports to have written
+    uint64_t received = 0;    // of these, received here without a gap
+    // Counts above `received`, in ascending order.
     std::deque<PendingCount> pending;
-    TimePoint first_seen_at{};  // when this start was first heard of
+    TimePoint first_seen_at{};  // when this start was first seen
     TimePoint last_report_at{};
 
     bool behind() const noexcept { return !pending.empty(); }
-    // It has started again: what it wrote last before may be unknown here.
+    // The peer was restarted, and the last records of its previous process may
+    // be missing here.
     bool needs_read_after_restart = false;
     TimePoint recovered_at{};  // when a gap was last filled from the store
   };
 
-  static void RaiseAdvertised(Peer& entry, uint64_t count, TimePoint now);
-  static void MarkReceived(Peer& entry, uint64_t count);
-  static bool IsBehind(const Peer& entry, TimePoint now);
-  static bool IsSilent(const Peer& entry, TimePoint now);
-  Peer& EnsurePeer(const std::string& entry, uint64_t start, TimePoint now);
+  static void RaiseAdvertised(Peer& peer, uint64_t count, TimePoint now);
+  static void MarkReceived(Peer& peer, uint64_t count);
+  static bool IsBehind(const Peer& peer, TimePoint now);
+  static bool IsSilent(const Peer& peer, TimePoint now);
+  Peer& EnsurePeer(const std::string& name, uint64_t start, TimePoint now);
 
   std::map<std::string, Peer> peers_;
   TimePoint read_began_{};
