--- a/libs/gateway/tests/kind_digest_test.cc
+++ b/libs/gateway/tests/kind_digest_test.cc
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-TEST_CASE("mirrors that know the same have the same digest") {
+TEST_CASE("mirrors with the same objects have the same digest") {
   KindDigest listed;
   listed.Reset({ObjectOf("b", 4), ObjectOf("a", 9)});
   KindDigest followed;
--- a/libs/gateway/tests/peer_state_test.cc
+++ b/libs/gateway/tests/peer_state_test.cc
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-TEST_CASE("a state arrives as it was told") {
+TEST_CASE("a decoded state equals the encoded one") {
   const PeerState sent = MakeState();
   const auto received = DecodePeerState(EncodePeerState(sent));
   REQUIRE(received);
@@ -53,21 +53,22 @@
   CHECK(received->yield_instance == "i-1");
 }
 
-// Anybody may send to the port. A datagram that is cut, or is of somebody else,
-// must neither stop the process nor change what is known.
-TEST_CASE("bytes that are no state are left out") {
-  const std::string whole = EncodePeerState(MakeState());
-  for (size_t size = 0; size < whole.size(); ++size) {
-    const auto cut = DecodePeerState(whole.substr(0, size));
-    // Protobuf has no end mark: a cut between two fields is a shorter message.
-    if (cut) CHECK(cut->gateway == "entry-1");
+// Guards against datagrams from unrelated senders and truncated ones: they must
+// neither terminate the process nor change the state.
+TEST_CASE("invalid bytes are not decoded as a state") {
+  const std::string full = EncodePeerState(MakeState());
+  for (size_t size = 0; size < full.size(); ++size) {
+    const auto truncated = DecodePeerState(full.substr(0, size));
+    // Protobuf has no end marker: a message cut between two fields is a valid
+    // shorter message.
+    if (truncated) CHECK(truncated->gateway == "entry-1");
   }
   CHECK_FALSE(DecodePeerState(""));
   CHECK_FALSE(DecodePeerState("{\"entry\":\"entry-1\"}"));
   CHECK_FALSE(DecodePeerState(std::string(2000, '\xff')));
 }
 
-TEST_CASE("what an entry has admitted of workspaces arrives") {
+TEST_CASE("the admitted requests of workspaces are decoded") {
   PeerState state{.gateway = "entry-1"};
   state.rate.uptime = std::chrono::milliseconds(4200);
   state.rate.fleet_size = 23;
--- a/libs/gateway/tests/record_codec_test.cc
+++ b/libs/gateway/tests/record_codec_test.cc
@@ -5,13 +5,13 @@
 
 namespace knapweedstile::gateway {
 
-TEST_CASE("records arrive as they were packed, any number in one message") {
-  std::string words;
-  for (int i = 0; i < 2000; ++i) words += "word " + std::to_string(i % 50);
-  const StoreRecord result{"segment.a.000001", words};
+TEST_CASE("packed records are decoded from a message unchanged") {
+  std::string text;
+  for (int i = 0; i < 2000; ++i) text += "word " + std::to_string(i % 50);
+  const StoreRecord result{"segment.a.000001", text};
   const StoreRecord empty{"end.a", ""};
   const std::string packed = PackRecord(result);
-  CHECK(packed.size() * 2 < words.size());
+  CHECK(packed.size() * 2 < text.size());
   const auto pushed =
       DecodePush(EncodePush("entry-1", 7, 12, packed + PackRecord(empty)));
   REQUIRE(pushed);
@@ -20,26 +20,26 @@
   CHECK(pushed->count == 12);
   REQUIRE(pushed->records.size() == 2);
   CHECK(pushed->records[0].name == result.name);
-  CHECK(pushed->records[0].value == words);
+  CHECK(pushed->records[0].value == text);
   CHECK(pushed->records[1].value.empty());
 }
 
-// Bytes that no entry sent, or a message that was cut: taken for records they
-// would put wrong results into the book.
-TEST_CASE("what is no message of records is refused") {
-  const std::string good =
+// Guards against bytes that no gateway sent and truncated messages. Decoded as
+// records, they would put wrong results into the job table.
+TEST_CASE("invalid record messages are rejected") {
+  const std::string valid =
       EncodePush("entry-1", 7, 1, PackRecord({"job.a", std::string(999, 'a')}));
-  REQUIRE(DecodePush(good));
+  REQUIRE(DecodePush(valid));
   CHECK_FALSE(DecodePush(""));
   CHECK_FALSE(DecodePush("{}"));
-  for (size_t bytes = 1; bytes < good.size(); ++bytes) {
-    const auto cut = DecodePush(good.substr(0, bytes));
-    CHECK((!cut || cut->records.empty()));
+  for (size_t bytes = 1; bytes < valid.size(); ++bytes) {
+    const auto truncated = DecodePush(valid.substr(0, bytes));
+    CHECK((!truncated || truncated->records.empty()));
   }
-  for (size_t at = 0; at < good.size(); ++at) {
-    std::string other = good;
-    other[at] ^= 0x5a;
-    (void)DecodePush(other);  // may be refused or not; ends either way
+  for (size_t at = 0; at < valid.size(); ++at) {
+    std::string corrupted = valid;
+    corrupted[at] ^= 0x5a;
+    (void)DecodePush(corrupted);  // may be rejected or not, but must return
   }
 }
 
--- a/libs/gateway/tests/sync_tracker_test.cc
+++ b/libs/gateway/tests/sync_tracker_test.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-TEST_CASE("records that were pushed need no call to the store") {
+TEST_CASE("pushed records need no store read") {
   SyncTracker sync;
   sync.OnAdvertisedCount("entry-2", 1, 0, At(0));
   sync.OnAdvertisedCount("entry-2", 1, 1, At(100));
@@ -24,10 +24,10 @@
   CHECK_FALSE(sync.NeedsStoreRead(At(400)));
 }
 
-// A caller reads a result at another entry and then asks here. The push of that
-// result was lost with its connection. The count that the other entry tells
-// stays ahead, so the store is asked, and once only.
-TEST_CASE("a push that was lost makes this entry ask the store") {
+// A caller reads a result on a peer and then requests it here, but the push of
+// that result was lost with its connection. The count that the peer advertises
+// stays ahead, so the store is read, and only once.
+TEST_CASE("a lost push causes a store read") {
   SyncTracker sync;
   sync.OnAdvertisedCount("entry-2", 1, 1, At(0));
   CHECK_FALSE(sync.NeedsStoreRead(At(50)));
@@ -36,18 +36,18 @@
   CHECK_FALSE(sync.NeedsStoreRead(At(500)));
 }
 
-// The first of two pushes is lost, the second arrives. Taking the second's
-// count for everything would hide the gap for good.
-TEST_CASE("a later push does not make up for a lost one") {
+// The first of two pushes is lost and the second arrives. Marking everything up
+// to the second's count as received would hide the gap permanently.
+TEST_CASE("a later push does not hide a lost one") {
   SyncTracker sync;
   sync.OnAdvertisedCount("entry-2", 1, 1, At(0));
   sync.OnReceived("entry-2", 1, 1, 2, At(100));
   CHECK(sync.NeedsStoreRead(At(300)));
 }
 
-// A record is counted while the store is being read: the read may have begun
-// before it was written, so it does not count as known.
-TEST_CASE("a read covers only what was counted before it began") {
+// A record is advertised during a store read. The read may have begun before
+// the record was written, so it does not count as received.
+TEST_CASE("a store read covers only records advertised before it began") {
   SyncTracker sync;
   sync.OnAdvertisedCount("entry-2", 1, 1, At(0));
   sync.OnAdvertisedCount("entry-2", 1, 2, At(210));
@@ -55,9 +55,9 @@
   CHECK(sync.NeedsStoreRead(At(500)));
 }
 
-// An entry is cut off from this one but still commits results that callers read
-// there. Nothing of it arrives here, not even its count.
-TEST_CASE("a silent entry makes this one ask the store again and again") {
+// A partitioned peer still commits results that callers read there. Neither its
+// records nor its counts arrive here.
+TEST_CASE("a silent peer causes repeated store reads") {
   SyncTracker sync;
   sync.OnAdvertisedCount("entry-2", 1, 0, At(0));
   CHECK_FALSE(sync.NeedsStoreRead(At(500)));
@@ -65,24 +65,25 @@
   sync.OnStoreRead(At(700), At(700));
   CHECK_FALSE(sync.NeedsStoreRead(At(800)));
   CHECK(sync.IsCurrent(At(1000)));
-  // While callers ask, a read, which takes up to 250 ms at a slow store, must
-  // end before the one before is too old.
+  // While callers wait, a read, which takes up to 250 ms with a slow store,
+  // must end before the previous one is too old.
   CHECK_FALSE(sync.NeedsStoreRead(At(1400 - 250)));
   sync.OnCallerWaiting(At(1000));
   CHECK(sync.NeedsStoreRead(At(1400 - 250)));
   CHECK(sync.IsCurrent(At(1400)));
   CHECK_FALSE(sync.IsCurrent(At(1500)));
-  // Nobody has asked for long: ends of jobs must still be known within three
-  // seconds.
+  // No caller has waited for long, but the ends of jobs must still be received
+  // within three seconds.
   sync.OnStoreRead(At(3000), At(3000));
   CHECK_FALSE(sync.NeedsStoreRead(At(4400)));
   CHECK(sync.NeedsStoreRead(At(4500)));
-  // Long after, it is gone for good.
+  // After a long silence the peer is considered terminated.
   CHECK_FALSE(sync.NeedsStoreRead(At(20000)));
 }
 
-// After a restart nothing was read yet: "no more results" would be a guess.
-TEST_CASE("nothing is current before the first read of the store") {
+// Guards against responding "no more results" after a restart, before anything
+// was read.
+TEST_CASE("no state is current before the first store read") {
   SyncTracker sync;
   CHECK_FALSE(sync.IsCurrent(At(0)));
   sync.OnStoreRead(At(0), At(0));
@@ -94,9 +95,9 @@
   CHECK(sync.IsCurrent(At(220)));
 }
 
-// An entry is known from the store but has never been heard: it may be cut off
-// from this one and serve callers.
-TEST_CASE("an entry that was never heard makes this one ask the store") {
+// A peer is registered in the store but no report was received from it. It may
+// be partitioned from this gateway and serve callers.
+TEST_CASE("a registered peer without any report causes a store read") {
   SyncTracker sync;
   sync.OnStoreRead(At(0), At(0));
   sync.AddPeer("entry-2", At(0));
@@ -105,14 +106,14 @@
   CHECK(sync.NeedsStoreRead(At(700)));
 }
 
-TEST_CASE("an entry that left in an orderly way hides nothing") {
+TEST_CASE("a peer that shut down gracefully causes no store read") {
   SyncTracker sync;
   sync.OnAdvertisedCount("entry-2", 1, 0, At(0));
   sync.RemovePeer("entry-2");
   CHECK_FALSE(sync.NeedsStoreRead(At(700)));
 }
 
-TEST_CASE("an entry that started again counts from zero") {
+TEST_CASE("the count of a restarted peer starts at zero") {
   SyncTracker sync;
   sync.OnAdvertisedCount("entry-2", 1, 9, At(0));
   sync.OnStoreRead(At(10), At(10));
@@ -120,9 +121,10 @@
   CHECK(sync.NeedsStoreRead(At(700)));
 }
 
-// An entry commits a result, is stopped before its push is sent, and is back
-// half a second later. Its new count says nothing of the old process's record.
-TEST_CASE("after an entry's restart the store is asked") {
+// A peer commits a result, is stopped before its push is sent, and restarts
+// half a second later. Its new count does not cover the previous process's
+// record.
+TEST_CASE("a peer restart causes a store read") {
   SyncTracker sync;
   sync.OnAdvertisedCount("entry-2", 1, 0, At(0));
   sync.OnStoreRead(At(10), At(10));
@@ -133,9 +135,9 @@
   CHECK(sync.IsCurrent(At(750)));
 }
 
-// The watch's connection is silent: this entry stays on the old version while
-// the others tell the new one.
-TEST_CASE("a version that stays behind for longer than a change takes") {
+// The watch's connection is silent: this gateway keeps the old version while
+// peers advertise the new one.
+TEST_CASE("a version that stays behind the advertised one is lagging") {
   LagDetector lag;
   lag.OnAdvertised(5, 5, At(0));
   CHECK_FALSE(lag.IsLagging(5, At(1000)));
@@ -146,10 +148,10 @@
   CHECK_FALSE(lag.IsLagging(7, At(1350)));
 }
 
-// A job's end is pushed to all entries but this one. For some milliseconds that
-// is usual; when the gap stays, the store cannot have been asked, and an item
-// that starts now may be one that must not.
-TEST_CASE("a gap that stays is known until the store fills it") {
+// A job's end is pushed to all gateways but this one. That is normal for some
+// milliseconds. If the gap remains, the store could not be read, and an item
+// that starts now may belong to a job that has ended.
+TEST_CASE("a gap persists until a store read fills it") {
   SyncTracker sync;
   sync.OnAdvertisedCount("entry-2", 1, 1, At(0));
   CHECK_FALSE(sync.HasGap(At(400)));
@@ -158,10 +160,10 @@
   CHECK_FALSE(sync.HasGap(At(1000)));
 }
 
-// A process is paused for seconds. When it goes on, datagrams from before the
-// pause are still in its socket and look like fresh ones: what it knows from
-// them is not enough to answer by.
-TEST_CASE("after a pause nothing is current before the store was read") {
+// A process is paused for seconds. When it resumes, datagrams from before the
+// pause are still in its socket and appear fresh, so state based on them must
+// not be used to respond.
+TEST_CASE("after a process pause no state is current before a store read") {
   SyncTracker sync;
   sync.OnStoreRead(At(0), At(0));
   sync.OnAdvertisedCount("entry-2", 1, 0, At(10));
@@ -174,24 +176,25 @@
   CHECK(sync.IsCurrent(At(5010)));
 }
 
-// A record that was not pushed is read from the store. Its writer is told, so
-// that it does not hold the job for unheard.
-TEST_CASE("a gap that was filled is told, for a while") {
+// A record that was not pushed is read from the store. This is reported to its
+// writer, so that it does not consider the job unacknowledged.
+TEST_CASE("a filled gap is reported for a limited time") {
   SyncTracker sync;
   sync.OnAdvertisedCount("entry-2", 7, 3, At(0));
   CHECK(sync.RecentlyRecovered(At(100)).empty());
   sync.OnStoreRead(At(200), At(210));
-  const auto filled = sync.RecentlyRecovered(At(300));
-  REQUIRE(filled.contains("entry-2"));
-  CHECK(filled.at("entry-2").start == 7);
-  CHECK(filled.at("entry-2").count == 3);
+  const auto recovered = sync.RecentlyRecovered(At(300));
+  REQUIRE(recovered.contains("entry-2"));
+  CHECK(recovered.at("entry-2").start == 7);
+  CHECK(recovered.at("entry-2").count == 3);
   CHECK(sync.RecentlyRecovered(At(5000)).empty());
 }
 
-// All entries crash and one stays away for good. Whether it has taken jobs
-// cannot be known for as long as it is expected; the others' own records still
-// can.
-TEST_CASE("a silent entry leaves what the others have written complete") {
+// All gateways crash and one does not restart. As long as it is expected, it is
+// unknown whether it has accepted jobs, but the records of the other peers can
+// be complete.
+TEST_CASE(
+    "a silent peer does not affect the completeness of other peers' records") {
   SyncTracker sync;
   CHECK_FALSE(sync.IsComplete(At(0)));
   sync.OnStoreRead(At(0), At(10));
@@ -206,11 +209,10 @@
   CHECK(sync.ReceivedFrom("entry-2") == 1);
 }
 
-// The link to another entry is too slow for its pushes, and it writes a record
-// every 50 ms. A read of the store takes 80 ms, so each time a newer count has
-// come meanwhile. What the reads bring must count, or nothing starts here any
-// more.
-TEST_CASE("reads of the store keep up with an entry that writes all the time") {
+// The link from a peer is too slow for its pushes, and it writes a record every
+// 50 ms. A store read takes 80 ms, so a newer count arrives during each read.
+// Records that a read brings must count, or no item starts here any more.
+TEST_CASE("store reads keep up with a peer that writes continuously") {
   SyncTracker sync;
   uint64_t count = 0;
   for (int now = 0; now < 20000; now += 10) {
