--- a/libs/gateway/include/gateway/gateway_process.h
+++ b/libs/gateway/include/gateway/gateway_process.h
@@ -5,13 +5,14 @@
 
 namespace knapweedstile::gateway {
 
-// The entry on the users' platform: callers' requests straight to the backend
-// servers, batch jobs from the platform's store. Runs until a signal; the exit
-// code.
+// Runs a gateway, which sends callers' requests directly to the backend servers
+// and runs batch jobs from the platform's store. Returns the process exit code
+// after a signal to stop, or at once if the gateway cannot start.
 int RunGateway(const GatewaySettings& settings);
 
-// The process on a VM with a disk. Nothing of the system is kept there, so it
-// only reports the VM as empty when the operators want to take it away.
+// Runs the process on a VM with a disk. The system stores nothing there, so it
+// only reports the VM as empty when the operators want to remove it. Returns
+// the process exit code after a signal to stop.
 int RunStore(const GatewaySettings& settings);
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/include/gateway/gateway_settings.h
+++ b/libs/gateway/include/gateway/gateway_settings.h
@@ -16,33 +16,36 @@
   std::string name;
   std::string ip;
   std::string availability_zone;
-  double processor_share = 1;     // of a core, that this process may use
-  std::string callers_address;    // empty: this VM takes no callers
+  double processor_share = 1;     // cores that this process may use
+  std::string callers_address;    // empty: this VM accepts no callers
   std::string readiness_address;  // readiness and metrics
-  std::string metrics_address;    // metrics alone; empty: nowhere else
+  std::string metrics_address;    // metrics only; empty: no second address
   uint32_t peer_port = 0;
   std::string store_address;
-  // How long the store keeps what has changed.
+  // How long the store keeps its change history.
   std::chrono::milliseconds store_history{20000};
-  // Backend servers renew their entries this often; one that misses three times
-  // is removed.
+  // Interval at which backend servers renew their records; a server that misses
+  // three renewals is removed.
   std::chrono::milliseconds server_heartbeat{1200};
-  // How long a job's results stay readable after its acceptance, at least.
+  // Minimum time that a job's results stay readable after its acceptance.
   std::chrono::milliseconds result_retention{120000};
-  // Between the signal to stop and the kill that follows it.
+  // Time between the signal to stop and the kill that follows it.
   std::chrono::milliseconds stop_grace{8000};
-  // How closely workspaces are kept to their rates.
+  // How strictly workspaces' rate limits are enforced.
   workspaces::RateQuotaSettings rate_quota;
-  // How long a gateway that has no news of the configuration takes its keys for
-  // valid; zero: without end.
+  // How long a gateway that receives no configuration updates accepts the keys
+  // that it knows; zero: indefinitely.
   std::chrono::milliseconds trust_configuration_for{0};
-  // What the users' platform sets that has no meaning here; told in the log.
+  // Bounds that the users' platform sets and this system does not interpret;
+  // written to the log at the start.
   std::string unexplained_bounds;
-  // Last events of the time line that are kept; each takes some 300 bytes.
+  // Number of most recent timeline events kept; each takes about 300 bytes.
   uint32_t timeline_events = 2000;
   LogLevel log_level = LogLevel::kInfo;
 };
 
+// Binds every key of the settings file to its field. `settings` must outlive
+// the calls of `schema.Load`.
 void BindGatewaySettings(settings::Schema& schema, GatewaySettings* settings);
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/gateway.cc
+++ b/libs/gateway/src/gateway.cc
@@ -14,19 +14,20 @@
 namespace knapweedstile::gateway {
 namespace {
 
-// Housekeeping: deadlines of reads, starts of items, shared usage.
+// Interval of periodic work: read deadlines, item starts, usage reports.
 constexpr std::chrono::milliseconds kTick{20};
-// Some half a second of a run; much finer would tell more than a lost entry
-// costs.
+// Events between progress updates of an item, about half a second of a run.
+// Finer steps would cost more in messages than they save when a gateway fails.
 constexpr uint64_t kProgressStep = 16;
-// The balancer takes an entry out after two probes, a second apart; until then
-// callers still come.
+// The load balancer removes a gateway after two failed probes, a second apart;
+// until then callers still connect.
 constexpr std::chrono::milliseconds kAcceptAfterStop{2800};
-// Jobs that wait for news of the store ask for them together.
+// Minimum time between reads of the records, so that jobs that wait for store
+// updates share one read.
 constexpr std::chrono::milliseconds kRecordsRefreshPause{100};
-// For the last records to reach the other entries.
+// Time for the last records to reach the peers.
 constexpr std::chrono::milliseconds kLastPushes{200};
-// Left of the time before the kill for the last answers to be written.
+// Time reserved before the kill for writing the last responses.
 constexpr std::chrono::milliseconds kLastWrites{400};
 }  // namespace
 
@@ -74,10 +75,10 @@
 }
 
 bool Gateway::OnCallerEvent(http::ServerEvent&& event) {
-  if (const auto* gone = std::get_if<http::DisconnectEvent>(&event)) {
-    online_.OnCallerDisconnected(gone->exchange);
-    batch_api_.OnCallerDisconnected(gone->exchange);
-    forwarder_.OnCallerDisconnected(gone->exchange);
+  if (const auto* disconnected = std::get_if<http::DisconnectEvent>(&event)) {
+    online_.OnCallerDisconnected(disconnected->exchange);
+    batch_api_.OnCallerDisconnected(disconnected->exchange);
+    forwarder_.OnCallerDisconnected(disconnected->exchange);
     return true;
   }
   CheckForPause();
@@ -85,11 +86,11 @@
   return true;
 }
 
-void Gateway::OnServerRestarted(BackendServerId former,
+void Gateway::OnServerRestarted(BackendServerId previous,
                                 const std::string& address) {
   connections_.CloseIdle(address);
-  online_.OnServerRestarted(former);
-  runner_.OnServerRestarted(former);
+  online_.OnServerRestarted(previous);
+  runner_.OnServerRestarted(previous);
 }
 
 void Gateway::OnConfiguration(const platform::StoredObject& object) {
@@ -99,7 +100,7 @@
         BOOST_LEAF_AUTO(configuration,
                         users_platform::ParseConfiguration(object.value));
         serving::RouteTable& table = configuration.routes;
-        // Versions only rise: an older one never comes back into force.
+        // Versions only increase, so that a late, older one is ignored.
         if (table.version <= routes_.version) return {};
         LogInfo(
             "configuration_in_force",
@@ -127,10 +128,11 @@
       [] {});
 }
 
-// Failure guarded against: an entry that lists its records after a crash, or
-// has missed a push, does not know that a job has ended, and its items reach
-// servers seconds after the caller was told so. What was counted by others or
-// written before now is read first; items that already run go on meanwhile.
+// Guards against starting items of a job that has already ended: a gateway that
+// is still listing its records after a crash, or has missed a push, lacks the
+// end record, and would send items to servers seconds after the caller was
+// informed. No items start until the missing records are read; running items
+// continue.
 void Gateway::RunBatch(TimePoint now) {
   ownership_.SetEndRecordsLoaded(record_mirrors_.caught_up() &&
                                  !sync_tracker_.HasGap(now));
@@ -213,7 +215,7 @@
                        {"items", runner_.running()},
                        {"grace_ms", settings_.stop_grace.count()}});
   caller_server_.BeginDraining();
-  // Items that wait are taken over at once, from where they are.
+  // Peers take over waiting items at once, at their current progress.
   progress_sent_at_ = TimePoint{};
   SendProgress(stop_began_at_, 1);
   publisher_.PublishFull(stop_began_at_);
--- a/libs/gateway/src/gateway.h
+++ b/libs/gateway/src/gateway.h
@@ -50,76 +50,91 @@
 
 namespace knapweedstile::gateway {
 
-// One entry on the users' platform: the parts and the paths between them. All
-// on one thread: at a fifth of a core each hand-over between threads would cost
-// more than the work that it hands over.
+// One gateway: owns all components and connects their callbacks. Everything
+// runs on one thread, because with a fifth of a core the cost of handing work
+// to another thread exceeds the cost of the work itself.
 class Gateway {
  public:
   Gateway(boost::asio::io_context& io, const GatewaySettings& settings,
           uint64_t seed);
 
   Result<bool> Start();
-  // Graceful shutdown: not ready at once; requests that still come are served
-  // until callers know; batch items end or are left to the other entries.
+  // Starts a graceful shutdown. The gateway reports itself as not ready at once
+  // but still serves requests until the load balancer has removed it. Running
+  // batch items finish or are left to the peers.
   void BeginStop();
 
  private:
   bool OnCallerEvent(http::ServerEvent&& event);
   bool ready() const;
 
-  // Ends what a former process of a server had in its hands.
-  void OnServerRestarted(BackendServerId former, const std::string& address);
+  // Ends the requests and batch items that ran on a server's previous process.
+  void OnServerRestarted(BackendServerId previous, const std::string& address);
   void OnConfiguration(const platform::StoredObject& object);
-  // The workspaces that operators wrote as objects have changed.
+  // Copies the workspaces defined as operator objects to the directory.
   void SetWorkspaceObjects();
-  // The directory of the fleet.
+  // Called with the member records of the fleet, in full or one at a time.
   void OnMembersListed(std::vector<platform::StoredObject>&& objects);
   void OnMemberChanged(const platform::StoredObject& object);
   void RemoveMember(const std::string& gateway);
-  // Takes what has changed in the directory into account.
+  // Applies changes of the member records and of the layout.
   void RefreshFleet(TimePoint now);
-  // Who exchanges state with this gateway, by the directory.
+  // Derives the peers, with which this gateway exchanges state, from the member
+  // records.
   void UpdatePeers();
-  // Divides a fleet that is too large for every gateway to hold every job.
+  // Proposes a sharded layout if the fleet is too large for every gateway to
+  // hold every job.
   void ProposeLayout(TimePoint now);
+  // Whether this gateway has just started and still waits for the layout before
+  // it exchanges state and accepts jobs.
   bool AwaitsLayout(TimePoint now) const;
   std::vector<std::string> HolderAddresses(std::string_view job) const;
-  // What other cells are told.
+  // Returns the state for other cells, or none if there is nothing to send. A
+  // store reader also advertises its state to them.
   std::optional<PeerState> BuildSummary(TimePoint now);
   void OnPeerSummary(const PeerState& state);
   void SendToCaller(http::ServerCommand&& command);
-  // False: the call was passed on to a gateway that holds the job.
+  // Returns true if this gateway holds the job. Otherwise forwards the call to
+  // a gateway that holds it, or responds with an error, and returns false.
   bool HoldsJobOrForwards(const http::RequestEvent& request,
                           const std::string& job, const CallerIdentity& caller);
   void OnJobCall(const http::RequestEvent& request);
   void OnPeerRequest(http::RequestEvent&& request);
-  // Its number among the records of this entry.
+  // Sends the record to the live peers. Returns its sequence number among the
+  // records of this gateway.
   uint64_t PushRecord(const StoreRecord& record);
   void OnRecordsAcknowledged();
   void OnPeerState(const PeerState& state);
 
-  void OnPeerStarted(const std::string& entry);
-  // Tells the quotas which entries there are.
+  void OnPeerStarted(const std::string& gateway);
+  // Updates the fleet members that share the rate limits.
   void UpdateRateMembers();
-  // Sorts the entries that are heard of into cells.
+  // Assigns the reachable gateways to cells.
   void UpdateCells();
-  void PreemptBatchItem(BackendServerId server, const std::string& entry);
+  // Preempts a batch item on the server: one of this gateway if `peer` is
+  // empty, otherwise one of that peer.
+  void PreemptBatchItem(BackendServerId server, const std::string& peer);
   void RunBatch(TimePoint now);
 
-  // Whether every record that a caller may have seen elsewhere is known here.
+  // Whether this gateway has received every record that a caller may already
+  // have seen on another gateway.
   bool HasAllRecords();
-  // Whether what the entries that are heard have written is known here.
+  // Whether this gateway has received all records that live peers have written.
   bool HasLivePeerRecords();
   void RefreshRecords();
-  // Notices that the process stood still.
+  // Checks whether the process was suspended; if so, invalidates the state that
+  // may be stale.
   void CheckForPause();
   void ScheduleTick();
   void Tick();
   PeerState OwnState() const;
-  // Tells the entry that would go on with each item how far it has come.
+  // Sends the progress of each running item to the gateway that would take over
+  // its job. `step`: minimum number of new events to report.
   void SendProgress(TimePoint now, uint64_t step);
-  // The entry has read records of this one that it was not pushed.
+  // Marks records of this gateway as acknowledged that the peer missed as
+  // pushes and has read from the store.
   void ConfirmRecoveredRecords(const PeerState& state);
+  // Performs the steps of the shutdown that are due.
   void AdvanceStop(TimePoint now);
   std::string RenderMetrics();
 
@@ -139,7 +154,7 @@
   StoreCalls store_;
   ServerDirectory servers_;
   PolicyView policies_;
-  uint64_t start_id_;  // of this process: later starts have higher ones
+  uint64_t start_id_;  // of this process; increases with every start
   PeerLink peers_;
   RecordPush record_push_;
   StoreRelay store_relay_;
@@ -166,7 +181,7 @@
   boost::asio::steady_timer tick_timer_;
 
   PauseDetector pause_detector_;
-  size_t gateways_in_cell_ = 1;  // this one included
+  size_t gateways_in_cell_ = 1;  // including this one
   bool members_listed_ = false;
   bool is_new_member_ = false;
   bool awaits_layout_ = false;
@@ -177,8 +192,8 @@
   TimePoint records_refreshed_at_{};
   TimePoint stop_began_at_ = kNever;
   bool accepting_ = true;
-  bool batch_runs_ended_ = false;  // stopping: runs ended, their progress told
-  TimePoint idle_since_{};         // stopping: since when nothing is left to do
+  bool batch_runs_ended_ = false;  // shutdown: runs ended, progress sent
+  TimePoint idle_since_{};         // shutdown: start of the current idle time
 };
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/gateway_fleet.cc
+++ b/libs/gateway/src/gateway_fleet.cc
@@ -10,25 +10,27 @@
 #include "peers/member_records.h"
 #include "platform/store_request.h"
 
-// The gateway's place in the fleet: the directory, its cell, and the jobs that
+// Fleet membership: the member records, this gateway's cell, and the jobs that
 // the cell holds.
 namespace knapweedstile::gateway {
 namespace {
 
-// A fleet that starts registers within this time, more than one pause of the
-// directory's mirror.
-constexpr std::chrono::milliseconds kDirectorySettles{700};
-// Gateways propose a layout one after the other, so that one write is enough.
-constexpr std::chrono::milliseconds kProposalStep{200};
+// All gateways of a starting fleet register within this time, which exceeds one
+// pause of the mirror of the member records.
+constexpr std::chrono::milliseconds kMembersSettle{700};
+// Delay per rank, so that gateways propose a layout one after another and one
+// write is enough.
+constexpr std::chrono::milliseconds kProposalRankDelay{200};
 constexpr std::chrono::milliseconds kProposalPause{3000};
 constexpr std::chrono::milliseconds kProposalTimeout{1500};
-// As long, gateways of a fleet that will be divided do not exchange state with
-// all others.
+// For this long after its start, a gateway of a fleet that will be divided
+// waits for the layout instead of exchanging state with all others.
 constexpr std::chrono::seconds kAwaitLayout{10};
-// After a start, the peers and with them the readers of the cell are known.
-constexpr std::chrono::milliseconds kPeersHeard{2000};
+// Time after a start until the peers, and so the cell's store readers, are
+// known.
+constexpr std::chrono::milliseconds kPeerDiscovery{2000};
 constexpr std::chrono::milliseconds kUnknownFleetRetry{300};
-// Of summaries without rates.
+// Minimum time between summaries that contain no rates.
 constexpr std::chrono::milliseconds kSummaryPause{1000};
 
 }  // namespace
@@ -46,11 +48,11 @@
     }
     OnMemberChanged(object);
   }
-  std::vector<std::string> gone;
+  std::vector<std::string> removed;
   for (const auto& [gateway, member] : fleet_.members()) {
-    if (!present.contains(gateway)) gone.push_back(gateway);
+    if (!present.contains(gateway)) removed.push_back(gateway);
   }
-  for (const std::string& gateway : gone) RemoveMember(gateway);
+  for (const std::string& gateway : removed) RemoveMember(gateway);
   if (!members_listed_) is_new_member_ = own_version == 0;
   members_listed_ = true;
   registration_.Register(own_version, own_value);
@@ -81,11 +83,11 @@
   rate_quota_.RemovePeer(Hash64(gateway));
 }
 
-// A gateway that was never registered has no work that waits for it; it sees
-// first how many others register.
+// A gateway that registers for the first time has no pending work, so it waits
+// to see how many others register.
 bool Gateway::AwaitsLayout(TimePoint now) const {
   if (fleet_.divided()) return false;
-  if (is_new_member_ && now < started_at_ + kDirectorySettles) return true;
+  if (is_new_member_ && now < started_at_ + kMembersSettle) return true;
   return now < started_at_ + kAwaitLayout &&
          cluster::LayoutFor(fleet_.members().size()).divided();
 }
@@ -121,7 +123,7 @@
   const bool awaits_layout = AwaitsLayout(now);
   const bool is_large = fleet_.divided() || awaits_layout;
   follower_.SetWaitForReadersUntil(
-      is_large && is_new_member_ ? started_at_ + kPeersHeard : TimePoint{});
+      is_large && is_new_member_ ? started_at_ + kPeerDiscovery : TimePoint{});
   if (!changed && awaits_layout == awaits_layout_) return ProposeLayout(now);
   if (changed) members_changed_at_ = now;
   awaits_layout_ = awaits_layout;
@@ -135,15 +137,17 @@
                     {"part", fleet_.own_cell().part}});
 }
 
-// Failure guarded against: gateways that divide jobs in different ways look for
-// one job at different places. The layout is created once, by whoever comes
-// first, and only while no job is known: none is left where nobody looks.
+// Guards against gateways that disagree on the layout and look for a job on
+// different gateways. The layout is created once, by the first gateway to write
+// it, and only while no job exists, so that no job ends up on a gateway where
+// it is not looked for.
 void Gateway::ProposeLayout(TimePoint now) {
   const cluster::FleetLayout layout =
       cluster::LayoutFor(fleet_.members().size());
   if (fleet_.divided() || !layout.divided() || !jobs_.jobs().empty()) return;
-  const Duration turn = kProposalStep * static_cast<int64_t>(fleet_.OwnRank());
-  if (now < members_changed_at_ + kDirectorySettles + turn) return;
+  const Duration turn =
+      kProposalRankDelay * static_cast<int64_t>(fleet_.OwnRank());
+  if (now < members_changed_at_ + kMembersSettle + turn) return;
   if (now < layout_proposed_at_ + kProposalPause) return;
   layout_proposed_at_ = now;
   store_.Call(
@@ -168,8 +172,7 @@
                                  const std::string& job,
                                  const CallerIdentity& caller) {
   const bool forwarded = RecordPush::IsPeerExchange(request.exchange);
-  // Until the directory and the layout are known nobody can say where the job
-  // is.
+  // The job cannot be located until the members and the layout are known.
   const bool knows_fleet = members_listed_ && !awaits_layout_;
   const bool holds = knows_fleet && (job.empty() || fleet_.HoldsJob(job));
   if (holds || jobs_.Find(job)) return true;
--- a/libs/gateway/src/gateway_metrics.h
+++ b/libs/gateway/src/gateway_metrics.h
@@ -7,7 +7,7 @@
 
 namespace knapweedstile::gateway {
 
-// Declares all families of a gateway.
+// Declares all metric families of a gateway.
 void DeclareMetrics(observe::Metrics& metrics);
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/gateway_peers.cc
+++ b/libs/gateway/src/gateway_peers.cc
@@ -6,15 +6,15 @@
 #include "base/hash.h"
 #include "gateway.h"
 
-// What the gateway tells the other entries and learns from them.
+// State that the gateway exchanges with its peers.
 namespace knapweedstile::gateway {
 namespace {
 
-// Items produce an event every 30 ms; what a lost entry costs is at most this
-// and what did not make a step.
+// Minimum time between progress updates. Items produce an event every 30 ms; a
+// failed gateway loses at most this time of progress and one incomplete step.
 constexpr std::chrono::milliseconds kProgressPause{500};
-// Of one message, below what the other entries' server takes.
-constexpr size_t kMostProgressBytes = 512 << 10;
+// Size of one message; below the limit of the peers' server.
+constexpr size_t kMaxProgressBytes = 512 << 10;
 
 }  // namespace
 
@@ -77,10 +77,10 @@
 }
 
 void Gateway::PreemptBatchItem(BackendServerId server,
-                               const std::string& entry) {
-  if (entry.empty()) return runner_.PreemptItem(server);
+                               const std::string& peer) {
+  if (peer.empty()) return runner_.PreemptItem(server);
   const serving::ServerRecord* record = scheduler_.Record(server);
-  if (record) peers_.RequestPreemption(entry, record->instance);
+  if (record) peers_.RequestPreemption(peer, record->instance);
 }
 
 PeerState Gateway::OwnState() const {
@@ -104,13 +104,13 @@
   const std::map<std::string, std::string> addresses = peers_.LiveAddresses();
   if (addresses.empty()) return;
   std::map<std::string, ProgressLink::Updates> by_address;
-  for (auto& note : jobs_.TakeProgressUpdates(step, kMostProgressBytes)) {
-    const auto address = addresses.find(ownership_.SuccessorOf(note.job));
+  for (auto& update : jobs_.TakeProgressUpdates(step, kMaxProgressBytes)) {
+    const auto address = addresses.find(ownership_.SuccessorOf(update.job));
     if (address == addresses.end()) continue;
-    by_address[address->second].push_back(std::move(note));
+    by_address[address->second].push_back(std::move(update));
   }
-  for (const auto& [address, notes] : by_address) {
-    progress_link_.Send(address, notes);
+  for (const auto& [address, updates] : by_address) {
+    progress_link_.Send(address, updates);
   }
 }
 
--- a/libs/gateway/src/gateway_process.cc
+++ b/libs/gateway/src/gateway_process.cc
@@ -26,8 +26,8 @@
       [&signals, stop](const boost::system::error_code& ec, int signal) {
         if (ec) return;
         if (signal == SIGHUP) {
-          // Nothing that may change while a process runs is taken from the
-          // file; what the operators change comes through the store.
+          // Settings from the file do not change while the process runs; what
+          // operators change is read from the store.
           LogInfo("reload_requested");
         } else {
           stop();
--- a/libs/gateway/src/gateway_records.cc
+++ b/libs/gateway/src/gateway_records.cc
@@ -5,7 +5,7 @@
 #include "batch/job_records.h"
 #include "gateway.h"
 
-// The gateway's records in the store: jobs, results and ends.
+// The gateway's records in the store: jobs, results and ends of jobs.
 namespace knapweedstile::gateway {
 
 uint64_t Gateway::PushRecord(const StoreRecord& record) {
@@ -19,12 +19,12 @@
                          MonotonicNow());
 }
 
-// Failure guarded against: an entry that crashes is back within a second and
-// goes on with its own jobs, but how far their items had come stands in other
-// entries' memory; it begins them anew and makes them late. Those others tell
-// it as soon as they hear of its new process.
-void Gateway::OnPeerStarted(const std::string& entry) {
-  jobs_.RepublishProgress(entry);
+// Guards against a gateway that crashes, restarts within a second and resumes
+// its jobs, but restarts their items from the beginning because their progress
+// is only in its peers' memory. Peers resend it when they detect the new
+// process.
+void Gateway::OnPeerStarted(const std::string& gateway) {
+  jobs_.RepublishProgress(gateway);
   progress_sent_at_ = TimePoint{};
 }
 
--- a/libs/gateway/src/gateway_wiring.cc
+++ b/libs/gateway/src/gateway_wiring.cc
@@ -13,16 +13,16 @@
 #include "operators/workspaces_page.h"
 #include "users_platform/store_names.h"
 
-// How the gateway's parts are joined.
+// Constructs the gateway's components and connects their callbacks.
 namespace knapweedstile::gateway {
 namespace {
 
-// A configuration's limit holds for what a caller sends before its body; the
-// server's own limit leaves room for it.
+// The configured timeout covers only what a caller sends before its body. The
+// body has this separate limit, which leaves room for the configured one.
 constexpr std::chrono::milliseconds kBodyTimeout{10000};
 
-// Results are kept for longer than is promised: an entry counts from when it
-// learned of a job, and readers come late.
+// Results are kept for longer than promised, because each gateway counts from
+// when it received the job and callers may read late.
 constexpr int kRetentionFactor = 2;
 
 http::ServerSettings CallerServerSettings() {
@@ -51,8 +51,8 @@
                   started_at_),
       store_(io, settings.store_address),
       servers_(scheduler_,
-               [this](BackendServerId former, const std::string& address) {
-                 OnServerRestarted(former, address);
+               [this](BackendServerId previous, const std::string& address) {
+                 OnServerRestarted(previous, address);
                }),
       policies_(scheduler_),
       start_id_(static_cast<uint64_t>(WallClockNanos())),
@@ -64,14 +64,14 @@
                     runner_.PreemptItem(scheduler_.Find(instance));
                   },
               .peer_started =
-                  [this](const std::string& entry) { OnPeerStarted(entry); },
+                  [this](const std::string& peer) { OnPeerStarted(peer); },
               .peer_lost =
-                  [this](const std::string& entry, bool draining) {
-                    scheduler_.RemovePeer(entry);
-                    crash_tracker_.RemovePeer(entry);
+                  [this](const std::string& peer, bool draining) {
+                    scheduler_.RemovePeer(peer);
+                    crash_tracker_.RemovePeer(peer);
                     if (!draining) return;
-                    sync_tracker_.RemovePeer(entry);
-                    rate_quota_.RemovePeer(Hash64(entry));
+                    sync_tracker_.RemovePeer(peer);
+                    rate_quota_.RemovePeer(Hash64(peer));
                   },
               .membership_changed = [this] { UpdateCells(); },
               .is_peer =
@@ -87,9 +87,9 @@
       record_push_(
           io, settings.name, start_id_,
           {.received =
-               [this](const std::string& entry, uint64_t start, uint64_t count,
+               [this](const std::string& peer, uint64_t start, uint64_t count,
                       std::vector<StoreRecord>&& records) {
-                 sync_tracker_.OnReceived(entry, start, count - records.size(),
+                 sync_tracker_.OnReceived(peer, start, count - records.size(),
                                           count, MonotonicNow());
                  for (StoreRecord& record : records) {
                    record_reader_.ApplyRecord(
@@ -98,7 +98,7 @@
                         .value = std::move(record.value)});
                  }
                  RunBatch(MonotonicNow());
-                 return sync_tracker_.ReceivedFrom(entry);
+                 return sync_tracker_.ReceivedFrom(peer);
                },
            .acknowledged = [this] { OnRecordsAcknowledged(); }}),
       store_relay_(
@@ -117,9 +117,9 @@
                      record_push_.Respond(exchange, std::move(body));
                    }}),
       progress_link_(io,
-                     [this](ProgressLink::Updates&& notes) {
-                       for (serving::ProgressUpdate& note : notes) {
-                         jobs_.MergeProgress(std::move(note));
+                     [this](ProgressLink::Updates&& updates) {
+                       for (serving::ProgressUpdate& update : updates) {
+                         jobs_.MergeProgress(std::move(update));
                        }
                      }),
       publisher_(
@@ -185,8 +185,8 @@
                  caller_server_.Execute(std::move(command));
                },
            .preempt =
-               [this](BackendServerId server, const std::string& entry) {
-                 PreemptBatchItem(server, entry);
+               [this](BackendServerId server, const std::string& peer) {
+                 PreemptBatchItem(server, peer);
                },
            .not_executed =
                [this](const std::string& workspace, TimePoint admitted_at) {
--- a/libs/gateway/src/operators/admin_server.cc
+++ b/libs/gateway/src/operators/admin_server.cc
@@ -15,7 +15,7 @@
 constexpr std::string_view kMetricsPath = "/metrics";
 constexpr char kJson[] = "application/json";
 
-// The number in `?after=N`; zero without one.
+// The number in `?after=N`; zero if absent.
 uint64_t AfterOf(std::string_view target) {
   constexpr std::string_view kAfter = "?after=";
   const size_t at = target.find(kAfter);
@@ -35,10 +35,10 @@
 
 AdminServer::AdminServer(boost::asio::io_context& io,
                          const GatewaySettings& settings, StoreCalls& store,
-                         const observe::Timeline& timeline, Callbacks ports)
+                         const observe::Timeline& timeline, Callbacks callbacks)
     : settings_(settings),
       timeline_(timeline),
-      callbacks_(std::move(ports)),
+      callbacks_(std::move(callbacks)),
       http_server_(io, {},
                    [this](http::ServerEvent&& event) {
                      return OnAdminEvent(std::move(event));
@@ -88,17 +88,17 @@
 }
 
 http::RespondCommand AdminServer::BuildPage(const http::RequestEvent& request) {
-  http::RespondCommand answer{.exchange = request.exchange, .status = 200};
+  http::RespondCommand response{.exchange = request.exchange, .status = 200};
   const std::string_view path = PathOf(request);
   const auto json = [&](std::string body) {
-    answer.headers.Add("Content-Type", kJson);
-    answer.body = std::move(body);
+    response.headers.Add("Content-Type", kJson);
+    response.body = std::move(body);
   };
   if (users_platform::IsReadinessProbe(request.method, path) ||
       path == "/readyz") {
-    answer.status = callbacks_.ready() ? 200 : 503;
+    response.status = callbacks_.ready() ? 200 : 503;
   } else if (path == "/healthz") {
-    answer.body = "ok";
+    response.body = "ok";
   } else if (path == kMetricsPath) {
     return BuildMetricsPage(request);
   } else if (path == "/status") {
@@ -108,21 +108,21 @@
   } else if (path == "/timeline") {
     json(RenderTimeline(settings_.name, timeline_, AfterOf(request.target)));
   } else {
-    answer.status = 404;
+    response.status = 404;
   }
-  return answer;
+  return response;
 }
 
 http::RespondCommand AdminServer::BuildMetricsPage(
     const http::RequestEvent& request) {
-  http::RespondCommand answer{.exchange = request.exchange, .status = 200};
+  http::RespondCommand response{.exchange = request.exchange, .status = 200};
   if (PathOf(request) != kMetricsPath) {
-    answer.status = 404;
-    return answer;
+    response.status = 404;
+    return response;
   }
-  answer.headers.Add("Content-Type", "text/plain; version=0.0.4");
-  answer.body = callbacks_.metrics();
-  return answer;
+  response.headers.Add("Content-Type", "text/plain; version=0.0.4");
+  response.body = callbacks_.metrics();
+  return response;
 }
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/operators/admin_server.h
+++ b/libs/gateway/src/operators/admin_server.h
@@ -18,28 +18,28 @@
 
 struct GatewaySettings;
 
-// What the gateway answers on the operators' address, and its metrics alone at
-// an address that stays.
+// HTTP server for operators: readiness, metrics, JSON pages and the API for
+// objects. Metrics are also served alone at a second, fixed address.
 class AdminServer {
  public:
   struct Callbacks {
-    // Whether this gateway takes callers.
+    // Whether this gateway accepts requests from callers.
     std::function<bool()> ready;
-    // Prometheus text; and JSON texts.
-    std::function<std::string()> metrics;
+    std::function<std::string()> metrics;  // Prometheus text format
+    // JSON documents.
     std::function<std::string()> status;
     std::function<std::string()> workspaces;
   };
 
   AdminServer(boost::asio::io_context& io, const GatewaySettings& settings,
               StoreCalls& store, const observe::Timeline& timeline,
-              Callbacks ports);
+              Callbacks callbacks);
 
   Result<bool> Listen();
 
  private:
-  // Callers are served without it as well, so it does not keep the gateway from
-  // starting; the operators' address has the same page.
+  // A failure to listen is only logged: callers are served without this
+  // address, and the operators' address serves the same page.
   void ListenForMetrics();
   bool OnAdminEvent(http::ServerEvent&& event);
   http::RespondCommand BuildPage(const http::RequestEvent& request);
--- a/libs/gateway/src/operators/object_names.h
+++ b/libs/gateway/src/operators/object_names.h
@@ -6,9 +6,9 @@
 
 namespace knapweedstile::gateway {
 
-// The operators' objects in the platform's store: all of one kind, so that one
-// watch follows them, named KIND.NAME. Their values are as operators write them
-// (docs/operators/knapctl.md).
+// Store kind of all operator objects. They share one kind, so that one watch
+// covers them, and are named KIND.NAME. Their values are stored as the
+// operators write them (docs/operators/knapctl.md).
 inline constexpr char kOperatorObjectsKind[] = "knapweedstile-objects";
 
 struct ObjectName {
@@ -21,7 +21,7 @@
   return std::string(kind) + "." + std::string(name);
 }
 
-// Both parts are empty when it is not such a name.
+// Splits KIND.NAME; both parts are empty if `stored` has no dot.
 inline ObjectName ParseObjectName(std::string_view stored) {
   const size_t dot = stored.find('.');
   if (dot == std::string_view::npos) return {};
--- a/libs/gateway/src/operators/objects_api.cc
+++ b/libs/gateway/src/operators/objects_api.cc
@@ -23,7 +23,7 @@
 using platform::StoreOutcome;
 
 constexpr char kPrefix[] = "/v1/objects/";
-// Operators wait; a slow store answers within a second.
+// Operators wait for the response; even a slow store answers within a second.
 constexpr std::chrono::milliseconds kCallTimeout{3000};
 
 unsigned StatusOf(StoreOutcome outcome) {
@@ -47,9 +47,9 @@
   return json::serialize(json::object{{"error", message}});
 }
 
-// Why the value is not an object of this kind; empty when it is one.
-std::string Refusal(const std::string& kind, const std::string& name,
-                    const std::string& value) {
+// Why the value is not a valid object of this kind; empty if it is valid.
+std::string ValidationErrors(const std::string& kind, const std::string& name,
+                             const std::string& value) {
   constexpr uint64_t kAnyVersion = 1;
   objects::Catalog catalog;
   const objects::ApplyResult result =
@@ -71,7 +71,7 @@
   std::string name;
   uint64_t if_version = 0;
 
-  std::string stored() const { return StoredObjectName(kind, name); }
+  std::string stored_name() const { return StoredObjectName(kind, name); }
 };
 
 ObjectsApi::ObjectsApi(StoreCalls& store, SendToCaller to_caller)
@@ -137,7 +137,7 @@
 void ObjectsApi::Read(const ObjectCall& call) {
   store_.CallDirectOrRelayed(
       platform::ReadRequest{.kind = kOperatorObjectsKind,
-                            .name = call.stored()},
+                            .name = call.stored_name()},
       MonotonicNow() + kCallTimeout,
       [this, caller = call.caller](StoreAnswer&& answer) {
         if (answer.outcome != StoreOutcome::kOk || answer.objects.empty()) {
@@ -149,19 +149,19 @@
 }
 
 void ObjectsApi::Write(const ObjectCall& call, const std::string& value) {
-  if (const std::string refusal = Refusal(call.kind, call.name, value);
-      !refusal.empty()) {
+  if (const std::string errors = ValidationErrors(call.kind, call.name, value);
+      !errors.empty()) {
     LogWarning("object_write_refused",
-               {{"object", call.stored()}, {"reason", refusal}});
-    return Respond(call.caller, 422, ErrorBody(refusal));
+               {{"object", call.stored_name()}, {"reason", errors}});
+    return Respond(call.caller, 422, ErrorBody(errors));
   }
   store_.CallDirectOrRelayed(
       platform::WriteRequest{.kind = kOperatorObjectsKind,
-                             .name = call.stored(),
+                             .name = call.stored_name(),
                              .if_version = call.if_version,
                              .value = value},
       MonotonicNow() + kCallTimeout, [this, call](StoreAnswer&& answer) {
-        LogInfo("object_written", {{"object", call.stored()},
+        LogInfo("object_written", {{"object", call.stored_name()},
                                    {"if_version", call.if_version},
                                    {"outcome", NameOf(answer.outcome)},
                                    {"version", answer.version}});
@@ -173,10 +173,10 @@
 void ObjectsApi::Delete(const ObjectCall& call) {
   store_.Call(
       platform::DeleteRequest{.kind = kOperatorObjectsKind,
-                              .name = call.stored(),
+                              .name = call.stored_name(),
                               .if_version = call.if_version},
       MonotonicNow() + kCallTimeout, [this, call](StoreAnswer&& answer) {
-        LogInfo("object_deleted", {{"object", call.stored()},
+        LogInfo("object_deleted", {{"object", call.stored_name()},
                                    {"if_version", call.if_version},
                                    {"outcome", NameOf(answer.outcome)}});
         Respond(call.caller, StatusOf(answer.outcome),
--- a/libs/gateway/src/operators/objects_api.h
+++ b/libs/gateway/src/operators/objects_api.h
@@ -11,16 +11,17 @@
 
 class StoreCalls;
 
-// The operators' objects over HTTP at a gateway, which keeps them in the
-// platform's store: what `knapctl apply`, `get`, `label` and `delete` call.
+// HTTP API for the operators' objects, which are kept in the platform's store.
+// `knapctl apply`, `get`, `label` and `delete` call it.
 //
 //   GET    /v1/objects/KIND
 //   GET    /v1/objects/KIND/NAME
-//   PUT    /v1/objects/KIND/NAME?if_version=N   0: only when there is none
+//   PUT    /v1/objects/KIND/NAME?if_version=N   0: create only
 //   DELETE /v1/objects/KIND/NAME?if_version=N
 //
-// A change is answered when the store has taken it. 409 bears the version that
-// is there; 422 names the fields that are wrong; 503: not done; 504: unknown.
+// A change is confirmed after the store has accepted it. Errors: 409 with the
+// current version, 422 with the invalid fields, 503 if the change was not made,
+// 504 if the outcome is unknown.
 class ObjectsApi {
  public:
   using SendToCaller = std::function<void(http::ServerCommand&&)>;
--- a/libs/gateway/src/operators/policy_view.cc
+++ b/libs/gateway/src/operators/policy_view.cc
@@ -21,14 +21,14 @@
 }  // namespace
 
 void PolicyView::OnListed(std::vector<platform::StoredObject>&& objects) {
-  std::map<std::string, uint64_t> gone = std::exchange(versions_, {});
+  std::map<std::string, uint64_t> removed = std::exchange(versions_, {});
   for (const platform::StoredObject& object : objects) {
-    gone.erase(object.name);
+    removed.erase(object.name);
     Apply(object);
   }
-  // What is no longer there was deleted while nobody watched, at a version
-  // above the one that was seen.
-  for (const auto& [name, version] : gone) {
+  // Objects missing from the list were deleted while no watch was open, at a
+  // higher version than the last one received.
+  for (const auto& [name, version] : removed) {
     Apply({.name = name, .version = version + 1, .deleted = true});
   }
   UpdateServerPolicies();
@@ -81,12 +81,12 @@
   if (catalog_.policies().empty() && server_policies_.empty()) return;
   const auto policies = catalog_.AllPolicies();
   std::map<BackendServerId, std::string> attached;
-  for (const BackendServerId id : board_.Servers()) {
-    const serving::ServerRecord& record = *board_.Record(id);
+  for (const BackendServerId id : scheduler_.Servers()) {
+    const serving::ServerRecord& record = *scheduler_.Record(id);
     const objects::Policy* policy = objects::PolicyForEngine(
         policies, {.labels = LabelsOf(record), .model = record.service});
-    board_.SetSharing(id,
-                      policy ? std::optional(policy->sharing) : std::nullopt);
+    scheduler_.SetSharing(
+        id, policy ? std::optional(policy->sharing) : std::nullopt);
     const std::string now =
         policy ? fmt::format("{}@{}", policy->name, policy->version)
                : std::string();
@@ -132,18 +132,18 @@
   const objects::Policy* policy =
       objects::PolicyForTraffic(catalog_.AllPolicies(), traffic, service);
   if (!policy) return {};
-  std::vector<BackendServerId> outside;
-  bool any_inside = false;
-  for (const BackendServerId id : board_.Servers()) {
-    const serving::ServerRecord& record = *board_.Record(id);
+  std::vector<BackendServerId> excluded;
+  bool any_selected = false;
+  for (const BackendServerId id : scheduler_.Servers()) {
+    const serving::ServerRecord& record = *scheduler_.Record(id);
     if (record.service != service) continue;
     if (objects::Matches(policy->engines, LabelsOf(record))) {
-      any_inside = any_inside || !record.draining;
+      any_selected = any_selected || !record.draining;
     } else {
-      outside.push_back(id);
+      excluded.push_back(id);
     }
   }
-  if (any_inside) return outside;
+  if (any_selected) return excluded;
   LogWarning("policy_selects_no_server",
              {{"policy", policy->name}, {"service", service}});
   return {};
--- a/libs/gateway/src/operators/policy_view.h
+++ b/libs/gateway/src/operators/policy_view.h
@@ -18,28 +18,28 @@
 
 namespace knapweedstile::gateway {
 
-// The operators' objects as they are in force here, and what they mean for the
-// backend servers: each server's sharing between online and batch, and which
-// servers a route's traffic is kept to.
+// Applies the operators' objects to the backend servers: how each server is
+// shared between online and batch, and which servers a route's traffic may use.
 //
 // A backend server's labels are `service`, `availability_zone` and `software`
-// of its own entry, and those of the engine object that names its address (or
-// its VM's) as `vm`. A request's labels are `route`, `host` and `kind` of its
+// of its record, and those of the engine object whose `vm` is the server's
+// address or its VM's. A request's labels are `route`, `host` and `kind` of its
 // route, and those of its caller's workspace.
 class PolicyView {
  public:
-  explicit PolicyView(serving::SlotScheduler& board) : board_(board) {}
+  explicit PolicyView(serving::SlotScheduler& scheduler)
+      : scheduler_(scheduler) {}
 
   // Commands.
   void OnListed(std::vector<platform::StoredObject>&& objects);
   void OnChanged(platform::StoredObject&& object);
-  // Brings the board in line after servers or objects have changed.
+  // Updates the scheduler after servers or objects have changed.
   void UpdateServerPolicies();
 
   // Queries.
-  // The service's servers that the policy of this traffic does not select; none
-  // while it selects none that is registered, so that a selector without any
-  // match does not stop its traffic.
+  // The service's servers that the policy of this traffic does not select.
+  // Empty if the policy selects no registered server, so that a selector
+  // without any match does not stop its traffic.
   const std::vector<BackendServerId>& ExcludedServers(
       const serving::Route& route, const std::string& service,
       const std::string& workspace);
@@ -53,11 +53,10 @@
   objects::Labels TrafficLabels(const serving::Route& route,
                                 const std::string& workspace) const;
 
-  serving::SlotScheduler& board_;
+  serving::SlotScheduler& scheduler_;
   objects::Catalog catalog_;
-  std::map<std::string, uint64_t> versions_;  // of objects present, by name
-  std::map<BackendServerId, std::string>
-      server_policies_;  // policy and version
+  std::map<std::string, uint64_t> versions_;  // of existing objects, by name
+  std::map<BackendServerId, std::string> server_policies_;  // NAME@VERSION
   std::map<std::string, std::vector<BackendServerId>>
       excluded_servers_;  // cache
 };
--- a/libs/gateway/src/operators/status_page.cc
+++ b/libs/gateway/src/operators/status_page.cc
@@ -14,12 +14,12 @@
 
 namespace json = boost::json;
 
-json::array Servers(const serving::SlotScheduler& board,
+json::array Servers(const serving::SlotScheduler& scheduler,
                     const PolicyView& policies) {
   json::array servers;
-  for (const BackendServerId id : board.Servers()) {
-    const serving::ServerRecord& record = *board.Record(id);
-    const serving::ServerUsage usage = board.UsageOf(id);
+  for (const BackendServerId id : scheduler.Servers()) {
+    const serving::ServerRecord& record = *scheduler.Record(id);
+    const serving::ServerUsage usage = scheduler.UsageOf(id);
     json::object labels;
     for (const auto& [name, value] : policies.LabelsOf(record)) {
       labels[name] = value;
@@ -30,7 +30,7 @@
                      {"target", record.service},
                      {"availability_zone", record.availability_zone},
                      {"state", record.draining ? "draining" : "ready"},
-                     {"policy", board.SharingPolicyName(id)},
+                     {"policy", scheduler.SharingPolicyName(id)},
                      {"labels", std::move(labels)},
                      {"load", json::object{{"slots", record.slots},
                                            {"online", usage.online},
@@ -57,14 +57,14 @@
   return policies;
 }
 
-// How many servers a placement's model has among those it selects.
-json::array Placements(const serving::SlotScheduler& board,
+// Counts the ready servers that a placement selects and that serve its model.
+json::array Placements(const serving::SlotScheduler& scheduler,
                        const PolicyView& policies) {
   json::array placements;
   for (const auto& [name, placement] : policies.catalog().placements()) {
     uint32_t serving = 0;
-    for (const BackendServerId id : board.Servers()) {
-      const serving::ServerRecord& record = *board.Record(id);
+    for (const BackendServerId id : scheduler.Servers()) {
+      const serving::ServerRecord& record = *scheduler.Record(id);
       const bool counts =
           record.service == placement.model && !record.draining &&
           objects::Matches(placement.engines, policies.LabelsOf(record));
@@ -78,22 +78,22 @@
   return placements;
 }
 
-json::array Refused(const objects::Catalog& catalog) {
-  json::array refused;
+json::array RejectedObjects(const objects::Catalog& catalog) {
+  json::array rejected;
   for (const objects::RejectedObject& object : catalog.RejectedObjects()) {
-    refused.push_back(json::object{{"object", object.id},
-                                   {"version", object.version},
-                                   {"in_force", object.active_version},
-                                   {"reason", object.reason}});
+    rejected.push_back(json::object{{"object", object.id},
+                                    {"version", object.version},
+                                    {"in_force", object.active_version},
+                                    {"reason", object.reason}});
   }
-  return refused;
+  return rejected;
 }
 
 }  // namespace
 
 std::string RenderStatus(const GatewaySettings& settings, bool draining,
                          uint64_t configuration,
-                         const serving::SlotScheduler& board,
+                         const serving::SlotScheduler& scheduler,
                          const PolicyView& policies) {
   const objects::Catalog& catalog = policies.catalog();
   return json::serialize(
@@ -104,22 +104,22 @@
                    {"config_revision", catalog.revision()},
                    {"config_digest", fmt::format("{:016x}", catalog.digest())},
                    {"draining", draining},
-                   {"backend_servers", Servers(board, policies)},
+                   {"backend_servers", Servers(scheduler, policies)},
                    {"policies", Policies(catalog)},
-                   {"placements", Placements(board, policies)},
-                   {"refused_objects", Refused(catalog)}});
+                   {"placements", Placements(scheduler, policies)},
+                   {"refused_objects", RejectedObjects(catalog)}});
 }
 
 std::string RenderTimeline(const std::string& node,
                            const observe::Timeline& timeline, uint64_t after) {
-  constexpr size_t kMostEvents = 5000;
+  constexpr size_t kMaxEvents = 5000;
   std::string text =
       json::serialize(json::object{{"node", node},
                                    {"wall_clock_nanos", WallClockNanos()},
                                    {"last", timeline.last_sequence()}});
-  // The events come as text already; they are put in before the closing brace.
+  // The events are already serialized; insert them before the closing brace.
   text.pop_back();
-  return text + ",\"events\":" + timeline.EventsJson(after, kMostEvents) + "}";
+  return text + ",\"events\":" + timeline.EventsJson(after, kMaxEvents) + "}";
 }
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/operators/status_page.h
+++ b/libs/gateway/src/operators/status_page.h
@@ -14,11 +14,11 @@
 // The state of one gateway as JSON, for `knapctl status`.
 std::string RenderStatus(const GatewaySettings& settings, bool draining,
                          uint64_t configuration,
-                         const serving::SlotScheduler& board,
+                         const serving::SlotScheduler& scheduler,
                          const PolicyView& policies);
 
-// Events of the time line after number `after`, and the wall clock that they
-// are on, for `knapctl timeline`.
+// The timeline's events after sequence number `after` and the wall clock that
+// they refer to as JSON, for `knapctl timeline`.
 std::string RenderTimeline(const std::string& node,
                            const observe::Timeline& timeline, uint64_t after);
 
--- a/libs/gateway/src/operators/workspaces_page.cc
+++ b/libs/gateway/src/operators/workspaces_page.cc
@@ -15,13 +15,13 @@
 
 namespace json = boost::json;
 
-constexpr size_t kMostListed = 1000;
+constexpr size_t kMaxListed = 1000;
 
 struct Use {
   const workspaces::Workspace* workspace = nullptr;
-  int64_t admitted = 0;  // by all entries, in the window
+  int64_t admitted = 0;  // by all gateways, within the window
   uint32_t own = 0;
-  uint32_t refused = 0;  // here
+  uint32_t rejected = 0;  // by this gateway
 };
 
 json::object ToJson(const Use& use) {
@@ -32,7 +32,7 @@
                          {"burst", workspace.rate.burst},
                          {"admitted", use.admitted},
                          {"admitted_here", use.own},
-                         {"refused_here", use.refused}};
+                         {"refused_here", use.rejected}};
   if (workspace.priority) object["priority"] = *workspace.priority;
   return object;
 }
@@ -48,13 +48,13 @@
     uses.push_back({.workspace = &workspace,
                     .admitted = std::llround(rate.TotalCount(hash, now)),
                     .own = rate.OwnCount(hash, now),
-                    .refused = rate.OwnRejected(hash, now)});
+                    .rejected = rate.OwnRejected(hash, now)});
   }
   std::stable_sort(uses.begin(), uses.end(), [](const Use& a, const Use& b) {
-    return a.admitted + a.refused > b.admitted + b.refused;
+    return a.admitted + a.rejected > b.admitted + b.rejected;
   });
-  const bool more = uses.size() > kMostListed;
-  if (more) uses.resize(kMostListed);
+  const bool more = uses.size() > kMaxListed;
+  if (more) uses.resize(kMaxListed);
   json::array list;
   for (const Use& use : uses) list.push_back(ToJson(use));
   return json::serialize(json::object{{"node", node},
--- a/libs/gateway/src/operators/workspaces_page.h
+++ b/libs/gateway/src/operators/workspaces_page.h
@@ -13,9 +13,9 @@
 
 namespace knapweedstile::gateway {
 
-// The workspaces in force at this gateway as JSON, for `knapctl workspaces`:
-// names, limits and use, and of their keys only how many there are. At most a
-// thousand, those in use first; `more` says that there are others.
+// The workspaces in effect on this gateway as JSON, for `knapctl workspaces`:
+// names, limits, usage and the number of keys. Lists at most a thousand, the
+// most used first; `more` says whether there are others.
 std::string RenderWorkspaces(const std::string& node, uint64_t configuration,
                              const workspaces::WorkspaceDirectory& workspaces,
                              const workspaces::RateQuota& rate, TimePoint now);
--- a/libs/gateway/src/pause_detector.h
+++ b/libs/gateway/src/pause_detector.h
@@ -7,16 +7,19 @@
 
 namespace knapweedstile::gateway {
 
-// Notices that the process, or its whole VM, stood still.
+// Detects that the process or its whole VM was suspended.
 //
-// Failure guarded against: a VM is suspended for seconds. The monotonic clock
-// may not count that time, and the datagrams that wait in the socket are from
-// before, so all looks as fresh as it was; the entry would give away what
-// others have taken since. The boot clock shows it, before anything is decided.
+// Guards against decisions on stale state after a VM was suspended for seconds.
+// The monotonic clock may not count that time and the datagrams in the socket
+// are from before it, so the state looks current, and the gateway would hand
+// out capacity that its peers have since used. The boot clock counts the
+// suspension. Pure logic: no I/O, no clock, no threads; the caller passes the
+// time.
 class PauseDetector {
  public:
-  // Called often, with the time of a clock that counts suspension. True when
-  // more time has passed since the last call than a busy process needs.
+  // To be called often, with the time of a clock that counts suspension.
+  // Returns true if more time has passed since the last call than load alone
+  // explains.
   bool DetectPause(TimePoint boot_now) {
     const bool first = last_boot_time_ == TimePoint{};
     const bool paused = !first && boot_now - last_boot_time_ > kPauseThreshold;
@@ -25,7 +28,7 @@
   }
 
  private:
-  // Half of what other entries wait before they take this one for gone.
+  // Half of the timeout after which peers consider this gateway unreachable.
   static constexpr std::chrono::milliseconds kPauseThreshold{700};
 
   TimePoint last_boot_time_{};
--- a/libs/gateway/src/store_role.cc
+++ b/libs/gateway/src/store_role.cc
@@ -11,11 +11,11 @@
 namespace knapweedstile::gateway {
 namespace {
 
-// Such requests come a few times a year, and a change ends the wait; a watch is
-// a call each time, so it waits long.
+// Evacuation requests are written a few times a year and end the watch at once.
+// Each watch is a call to the store, so it waits long.
 constexpr std::chrono::milliseconds kWatchWait{20000};
 constexpr std::chrono::milliseconds kReportTimeout{1500};
-constexpr std::chrono::milliseconds kReportPause{300};
+constexpr std::chrono::milliseconds kReportRetryDelay{300};
 
 }  // namespace
 
@@ -56,7 +56,7 @@
         if (answer.outcome == platform::StoreOutcome::kNotFound) return;
         const uint64_t present = answer.version != 0 ? answer.version : version;
         auto timer =
-            std::make_shared<boost::asio::steady_timer>(io_, kReportPause);
+            std::make_shared<boost::asio::steady_timer>(io_, kReportRetryDelay);
         timer->async_wait([this, timer, present](const auto& ec) {
           if (!ec) ReportEvacuation(present);
         });
--- a/libs/gateway/src/store_role.h
+++ b/libs/gateway/src/store_role.h
@@ -11,8 +11,8 @@
 
 namespace knapweedstile::gateway {
 
-// The process on a VM with a disk: it keeps nothing there, so a VM that is to
-// be emptied is reported empty as soon as the operators ask.
+// The process on a VM with a disk. It stores nothing there, so it confirms an
+// evacuation request for its VM as soon as the operators write one.
 class StoreRole {
  public:
   StoreRole(boost::asio::io_context& io, const GatewaySettings& settings);
