--- a/libs/objects/include/objects/apply_result.h
+++ b/libs/objects/include/objects/apply_result.h
@@ -10,9 +10,9 @@
 namespace knapweedstile::objects {
 
 enum class ApplyOutcome {
-  kAccepted,  // in force now
-  kStale,     // not newer than what was seen; nothing changed
-  kInvalid,   // refused; the last good version stays in force
+  kAccepted,  // active now
+  kStale,     // not newer than the latest version; no change
+  kInvalid,   // rejected; the last valid version stays active
   kIgnored,   // not a kind that operators edit
 };
 
--- a/libs/objects/include/objects/catalog.h
+++ b/libs/objects/include/objects/catalog.h
@@ -19,19 +19,20 @@
 
 namespace knapweedstile::objects {
 
-// The operators' objects that are in force on this node.
+// The operators' objects that are active on this node.
 //
-// Failures guarded against: an edit that does not parse must not take away what
-// works, so a refused version leaves the last good one in force and is listed
-// with its reason. An old version that arrives late (a list that
-// lags behind a watch) must not revert an accepted one, so versions of a name
-// only rise, also over its deletion.
+// Guards against an invalid edit that disables a working configuration: a
+// rejected version leaves the last valid one active and is listed with its
+// reason. Guards against an old version that arrives late (from a list that
+// lags behind a watch) and reverts an accepted one: versions of a name only
+// increase, including across its deletion.
 class Catalog {
  public:
   template <typename T>
   using Table = std::map<std::string, T, std::less<>>;
 
-  // Kinds that operators do not edit are ignored.
+  // Applies one version of an object. Kinds that operators do not edit are
+  // ignored.
   ApplyResult Apply(std::string_view kind, std::string_view name,
                     uint64_t version, std::string_view value, bool deleted);
 
@@ -43,24 +44,24 @@
   // All policies, for policy_order.h.
   std::vector<const Policy*> AllPolicies() const;
 
-  // The highest version applied or refused.
+  // The highest version applied or rejected.
   uint64_t revision() const noexcept { return revision_; }
-  // Over kinds, names and versions that are in force: equal on two nodes only
-  // when they serve by the same objects (but for hash collisions).
+  // Digest of the kinds, names and versions of the active objects. Equal on two
+  // nodes only if they use the same objects, except for hash collisions.
   uint64_t digest() const noexcept { return digest_; }
-  // Present versions that were refused, by kind/name.
+  // The latest versions that were rejected, by kind/name.
   std::vector<RejectedObject> RejectedObjects() const;
 
-  // The engine object of a VM, or null; the lowest name when there are several.
+  // The engine object of a VM, or null; the lowest name if there are several.
   const Engine* EngineOnVm(std::string_view vm) const;
   // For each policy, which others shadow it (policy_order.h).
   std::map<std::string, std::vector<std::string>> ShadowedPolicies() const;
 
  private:
   struct VersionState {
-    uint64_t version = 0;          // the newest, in force or refused
+    uint64_t version = 0;          // the latest, active or rejected
     uint64_t active_version = 0;   // zero: none
-    std::string rejection_reason;  // empty: the newest is in force
+    std::string rejection_reason;  // empty: the latest is active
   };
 
   template <typename T>
--- a/libs/objects/include/objects/field_error.h
+++ b/libs/objects/include/objects/field_error.h
@@ -6,16 +6,16 @@
 
 namespace knapweedstile::objects {
 
-// Why one field of an object is refused.
+// Why one field of an object is invalid.
 struct FieldError {
   std::string field;    // path, such as "spec.traffic.in.tier[0]"
-  std::string value;    // the value as JSON, cut short; empty: missing
-  std::string allowed;  // for people
+  std::string value;    // the value as JSON, truncated; empty: missing
+  std::string allowed;  // human-readable
 };
 
 using FieldErrors = std::vector<FieldError>;
 
-// One line for people: every field with the value seen and what is allowed.
+// One human-readable line: each field with its value and what is allowed.
 std::string Describe(const FieldErrors& errors);
 
 }  // namespace knapweedstile::objects
--- a/libs/objects/include/objects/parse.h
+++ b/libs/objects/include/objects/parse.h
@@ -13,13 +13,13 @@
 struct Placement;
 struct Policy;
 
-// The object, or every field that is wrong with it.
+// The object, or an error for each invalid field.
 template <typename T>
 using Parsed = std::variant<T, FieldErrors>;
 
-// Parses a stored value `{"labels","spec"}`. Unknown fields are errors: a
-// misspelt name would otherwise silently leave a default in force. The result
-// carries no name and no version; the store holds those.
+// Parses a stored value `{"labels","spec"}`. Unknown fields are errors, because
+// a misspelt name would otherwise silently leave a default in effect. The
+// result has no name and no version; the store holds those.
 template <typename T>
 Parsed<T> Parse(std::string_view value);
 
--- a/libs/objects/include/objects/placement.h
+++ b/libs/objects/include/objects/placement.h
@@ -9,7 +9,7 @@
 
 namespace knapweedstile::objects {
 
-// How many replicas of a model stand on which engines.
+// How many replicas of a model run on which engines.
 struct Placement {
   std::string name;
   uint64_t version = 0;
--- a/libs/objects/include/objects/policy.h
+++ b/libs/objects/include/objects/policy.h
@@ -11,8 +11,8 @@
 
 namespace knapweedstile::objects {
 
-// A serving policy: which traffic it takes, on which engines, and how online
-// and batch share them.
+// A serving policy: which traffic it applies to, which engines serve it, and
+// how online and batch share these engines.
 struct Policy {
   std::string name;
   uint64_t version = 0;
--- a/libs/objects/include/objects/policy_order.h
+++ b/libs/objects/include/objects/policy_order.h
@@ -14,37 +14,38 @@
 struct Engine;
 struct Policy;
 
-// The one total order that settles policies selecting the same traffic or
-// engine: the higher `priority` wins, and among equals the lower name (names
-// are unique, so the order is total and the same on every node).
+// Whether `a` takes precedence over `b` when both select the same traffic or
+// engine: the higher `priority` wins, then the lower name. Names are unique, so
+// the order is total and the same on every node.
 //
-// Without it two nodes that learnt of two policies in another order would serve
-// the same request differently.
+// Without a total order, two nodes that received the policies in a different
+// order would serve the same request differently.
 bool HasPrecedence(const Policy& a, const Policy& b);
 
-// True when the policy names any traffic: conditions on the workspace's labels,
-// or targets. One that names none sets only the sharing of its engines.
+// Whether the policy selects traffic, by conditions on the workspace's labels
+// or by targets. A policy without either only sets the sharing of its engines.
 //
-// Without that difference, moving engines one by one from an old policy to a
-// new one would send all the traffic to the first engine moved.
+// If such a policy applied to all traffic, moving engines one by one from an
+// old policy to a new one would send all traffic to the first engine moved.
 bool SelectsTraffic(const Policy& policy);
 
-// True when the policy takes this traffic.
+// Whether the policy applies to this traffic.
 bool MatchesTraffic(const Policy& policy, const Labels& workspace_labels,
                     std::string_view target);
 
-// The winner for a request of a workspace with these labels, or null.
+// The policy for a request of a workspace with these labels, or null.
 const Policy* PolicyForTraffic(const std::vector<const Policy*>& policies,
                                const Labels& workspace_labels,
                                std::string_view target);
 
-// The policy whose sharing is in force on an engine, or null: an engine has one
-// gate, so the winner among all policies that select it and its model sets it.
+// The policy that sets the sharing of an engine, or null. An engine has a
+// single sharing, so only the first in precedence of the policies that select
+// the engine and its model applies.
 const Policy* PolicyForEngine(const std::vector<const Policy*>& policies,
                               const Engine& engine);
 
-// For each policy, by name: the others that take away some of the traffic or of
-// the engines that it selects among those given, in the total order.
+// For each policy, by name: the policies of higher precedence that select some
+// of the same traffic or engines among those given, in order of precedence.
 std::map<std::string, std::vector<std::string>> ShadowedBy(
     const std::vector<const Policy*>& policies,
     const std::vector<const Engine*>& engines,
--- a/libs/objects/include/objects/rejected_object.h
+++ b/libs/objects/include/objects/rejected_object.h
@@ -6,7 +6,7 @@
 
 namespace knapweedstile::objects {
 
-// A version that was refused while an older one, or none, stays in force.
+// A rejected version of an object; an older version, or none, stays active.
 struct RejectedObject {
   std::string id;  // kind/name
   uint64_t version = 0;
--- a/libs/objects/include/objects/selector.h
+++ b/libs/objects/include/objects/selector.h
@@ -9,15 +9,15 @@
 
 namespace knapweedstile::objects {
 
-// Picks objects by their labels. Every condition must hold; a selector without
-// conditions picks everything.
+// Selects objects by their labels. Every condition must hold; a selector
+// without conditions selects everything.
 struct Selector {
   using ValueLists = std::map<std::string, std::vector<std::string>>;
 
-  Labels match;                     // the label is there with this value
-  ValueLists in;                    // ... with one of these values
-  ValueLists not_in;                // absent, or with none of these values
-  std::vector<std::string> exists;  // the label is there
+  Labels match;                     // the label has this value
+  ValueLists in;                    // the label has one of these values
+  ValueLists not_in;                // the label is absent or has none of these
+  std::vector<std::string> exists;  // the label is present
 };
 
 bool Matches(const Selector& selector, const Labels& labels);
--- a/libs/objects/src/catalog.cc
+++ b/libs/objects/src/catalog.cc
@@ -22,14 +22,14 @@
   return std::string(NameOf(kind)) + "/" + std::string(name);
 }
 
-// The sharing policy carries its policy's name and version, for reports.
-void Stamp(Policy& policy) {
+// Copies the policy's name and version to its sharing, for reports.
+void LabelSharing(Policy& policy) {
   policy.sharing.name = policy.name;
   policy.sharing.revision = policy.version;
 }
 
 template <typename T>
-void Stamp(T& /*object*/) {}
+void LabelSharing(T& /*object*/) {}
 
 }  // namespace
 
@@ -37,9 +37,9 @@
                            uint64_t version, std::string_view value,
                            bool deleted) {
   revision_ = std::max(revision_, version);
-  const auto known = ParseEnum<ObjectKind>(kind);
-  if (!known) return {ApplyOutcome::kIgnored, {}};
-  return Dispatch(*known, name, version, value, deleted);
+  const auto object_kind = ParseEnum<ObjectKind>(kind);
+  if (!object_kind) return {ApplyOutcome::kIgnored, {}};
+  return Dispatch(*object_kind, name, version, value, deleted);
 }
 
 ApplyResult Catalog::Dispatch(ObjectKind kind, std::string_view name,
@@ -63,46 +63,46 @@
                              std::string_view name, uint64_t version,
                              std::string_view value, bool deleted) {
   const std::string id = IdOf(kind, name);
-  VersionState& seen = version_states_[id];
-  if (version <= seen.version) return {ApplyOutcome::kStale, {}};
-  seen.version = version;
+  VersionState& state = version_states_[id];
+  if (version <= state.version) return {ApplyOutcome::kStale, {}};
+  state.version = version;
   if (deleted) {
     table.erase(std::string(name));
-    SetActiveVersion(seen, id, 0);
+    SetActiveVersion(state, id, 0);
     return {ApplyOutcome::kAccepted, {}};
   }
   Parsed<T> parsed = Parse<T>(value);
   if (auto* errors = std::get_if<FieldErrors>(&parsed)) {
-    seen.rejection_reason = Describe(*errors);
+    state.rejection_reason = Describe(*errors);
     return {ApplyOutcome::kInvalid, std::move(*errors)};
   }
   T& object = std::get<T>(parsed);
   object.name = std::string(name);
   object.version = version;
-  Stamp(object);
+  LabelSharing(object);
   table[object.name] = std::move(object);
-  SetActiveVersion(seen, id, version);
+  SetActiveVersion(state, id, version);
   return {ApplyOutcome::kAccepted, {}};
 }
 
-// The digest is a sum, so that the order of arrival does not matter.
-void Catalog::SetActiveVersion(VersionState& seen, std::string_view id,
+// The digest is a sum, so that it does not depend on the order of arrival.
+void Catalog::SetActiveVersion(VersionState& state, std::string_view id,
                                uint64_t version) {
-  if (seen.active_version != 0)
-    digest_ -= HashCombine(Hash64(id), seen.active_version);
+  if (state.active_version != 0)
+    digest_ -= HashCombine(Hash64(id), state.active_version);
   if (version != 0) digest_ += HashCombine(Hash64(id), version);
-  seen.active_version = version;
-  seen.rejection_reason.clear();
+  state.active_version = version;
+  state.rejection_reason.clear();
 }
 
 std::vector<RejectedObject> Catalog::RejectedObjects() const {
-  std::vector<RejectedObject> refused;
-  for (const auto& [id, seen] : version_states_) {
-    if (seen.rejection_reason.empty()) continue;
-    refused.push_back(
-        {id, seen.version, seen.active_version, seen.rejection_reason});
+  std::vector<RejectedObject> rejected;
+  for (const auto& [id, state] : version_states_) {
+    if (state.rejection_reason.empty()) continue;
+    rejected.push_back(
+        {id, state.version, state.active_version, state.rejection_reason});
   }
-  return refused;
+  return rejected;
 }
 
 std::vector<const Policy*> Catalog::AllPolicies() const {
--- a/libs/objects/src/field_reader.cc
+++ b/libs/objects/src/field_reader.cc
@@ -8,13 +8,13 @@
 
 namespace json = boost::json;
 
-constexpr size_t kLongestSeen = 80;
+constexpr size_t kMaxShownBytes = 80;
 
 std::string Shown(const json::value* value) {
   if (value == nullptr) return {};
   std::string text = json::serialize(*value);
-  if (text.size() > kLongestSeen) {
-    text.resize(kLongestSeen);
+  if (text.size() > kMaxShownBytes) {
+    text.resize(kMaxShownBytes);
     text += "...";
   }
   return text;
@@ -40,27 +40,26 @@
   out = std::string(value->get_string());
 }
 
-void FieldReader::Int(std::string_view name, int64_t least, int64_t most,
+void FieldReader::Int(std::string_view name, int64_t min, int64_t max,
                       int64_t& out) {
   const json::value* value = FindField(name);
   if (value == nullptr) return;
   json::error_code ec;
   const auto number = value->to_number<int64_t>(ec);
-  if (ec || value->is_double() || number < least || number > most) {
-    return Reject(name,
-                  fmt::format("a whole number from {} to {}", least, most));
+  if (ec || value->is_double() || number < min || number > max) {
+    return Reject(name, fmt::format("a whole number from {} to {}", min, max));
   }
   out = number;
 }
 
-void FieldReader::Real(std::string_view name, double least, double most,
+void FieldReader::Real(std::string_view name, double min, double max,
                        double& out) {
   const json::value* value = FindField(name);
   if (value == nullptr) return;
   json::error_code ec;
   const auto number = value->to_number<double>(ec);
-  if (ec || !(number >= least && number <= most)) {
-    return Reject(name, fmt::format("a number from {} to {}", least, most));
+  if (ec || !(number >= min && number <= max)) {
+    return Reject(name, fmt::format("a number from {} to {}", min, max));
   }
   out = number;
 }
@@ -114,7 +113,7 @@
 
 void FieldReader::Require(std::string_view name) {
   if (!object_.contains(name))
-    AddError(PathOf(name), nullptr, "it must be there");
+    AddError(PathOf(name), nullptr, "a value; the field is required");
 }
 
 void FieldReader::Reject(std::string_view name, std::string allowed) {
@@ -130,7 +129,7 @@
     const std::string_view name = entry.key();
     if (known_fields_.contains(name)) continue;
     AddError(PathOf(name), &entry.value(),
-             "no such field; the fields are " + allowed);
+             "no such field; valid fields: " + allowed);
   }
 }
 
--- a/libs/objects/src/field_reader.h
+++ b/libs/objects/src/field_reader.h
@@ -15,30 +15,31 @@
 
 namespace knapweedstile::objects {
 
-// Reads the fields of one JSON object, collects what is wrong with them, and
-// reports the fields that nobody read as unknown.
+// Reads the fields of one JSON object and collects an error for each invalid
+// field and for each field that was not read.
 class FieldReader {
  public:
   FieldReader(const boost::json::object& object, std::string path,
               FieldErrors& errors)
       : object_(object), path_(std::move(path)), errors_(errors) {}
 
-  // Each leaves `out` alone when the field is absent.
+  // Each leaves `out` unchanged if the field is absent.
   void Text(std::string_view name, std::string& out);
-  void Int(std::string_view name, int64_t least, int64_t most, int64_t& out);
-  void Real(std::string_view name, double least, double most, double& out);
+  void Int(std::string_view name, int64_t min, int64_t max, int64_t& out);
+  void Real(std::string_view name, double min, double max, double& out);
   void TextList(std::string_view name, std::vector<std::string>& out);
   void LabelMap(std::string_view name, Labels& out);
   void ReadSelector(std::string_view name, Selector& out);
-  // The selector's conditions, when this object is one.
+  // Reads the conditions of a selector whose fields are those of this object.
   void ReadSelectorFields(Selector& out);
-  // A reader of the member object; none when it is absent or no object.
+  // A reader for the nested object; none if it is absent or not an object.
   std::optional<FieldReader> Child(std::string_view name);
 
-  // Errors for a field that must be there, or for its value.
+  // Adds an error if the field is absent.
   void Require(std::string_view name);
+  // Adds an error for the field's value.
   void Reject(std::string_view name, std::string allowed);
-  // Call last.
+  // Adds an error for each field that was not read; to be called last.
   void RejectUnknownFields();
 
   std::string PathOf(std::string_view name) const;
--- a/libs/objects/src/parse.cc
+++ b/libs/objects/src/parse.cc
@@ -19,12 +19,12 @@
 
 namespace json = boost::json;
 
-constexpr int64_t kMostPriority = 1'000'000;
-constexpr double kMostSigma = 10;
+constexpr int64_t kMaxPriority = 1'000'000;
+constexpr double kMaxSigma = 10;
 constexpr double kPermille = 1000;
 constexpr double kPercent = 100;
-constexpr int64_t kMostReplicas = 100'000;
-constexpr double kMostRate = 1e6;
+constexpr int64_t kMaxReplicas = 100'000;
+constexpr double kMaxRate = 1e6;
 
 template <typename E>
 std::string NamesOf() {
@@ -37,7 +37,7 @@
   double sigma = sharing.reserve_sigma_percent / kPercent;
   reader.Text("sharing", kind);
   reader.Real("batch_share", 0, 1, share);
-  reader.Real("reserve_sigma", 0, kMostSigma, sigma);
+  reader.Real("reserve_sigma", 0, kMaxSigma, sigma);
   if (const auto parsed = ParseEnum<decide::SharingKind>(kind)) {
     sharing.kind = *parsed;
   } else {
@@ -50,7 +50,7 @@
 }
 
 void ReadSpec(FieldReader& reader, Policy& policy) {
-  reader.Int("priority", -kMostPriority, kMostPriority, policy.priority);
+  reader.Int("priority", -kMaxPriority, kMaxPriority, policy.priority);
   if (auto traffic = reader.Child("traffic")) {
     traffic->ReadSelectorFields(policy.traffic);
     traffic->TextList("targets", policy.targets);
@@ -84,10 +84,10 @@
   reader.TextList("models", workspace.models);
   ReadKeys(reader, workspace);
   int64_t priority = -1;
-  reader.Int("priority", 0, kMostPriority, priority);
+  reader.Int("priority", 0, kMaxPriority, priority);
   if (priority >= 0) workspace.priority = static_cast<uint32_t>(priority);
-  reader.Real("requests_per_second", 0, kMostRate, workspace.rate.per_second);
-  reader.Real("burst", 0, kMostRate, workspace.rate.burst);
+  reader.Real("requests_per_second", 0, kMaxRate, workspace.rate.per_second);
+  reader.Real("burst", 0, kMaxRate, workspace.rate.burst);
 }
 
 void ReadSpec(FieldReader& reader, Placement& placement) {
@@ -95,7 +95,7 @@
   reader.Text("model", placement.model);
   reader.ReadSelector("engines", placement.engines);
   int64_t replicas = placement.replicas;
-  reader.Int("replicas", 0, kMostReplicas, replicas);
+  reader.Int("replicas", 0, kMaxReplicas, replicas);
   placement.replicas = static_cast<uint32_t>(replicas);
 }
 
--- a/libs/objects/src/policy_order.cc
+++ b/libs/objects/src/policy_order.cc
@@ -21,8 +21,8 @@
 }
 
 template <typename Selects>
-const Policy* FirstBy(const std::vector<const Policy*>& policies,
-                      Selects selects) {
+const Policy* FirstInPrecedence(const std::vector<const Policy*>& policies,
+                                Selects selects) {
   const Policy* winner = nullptr;
   for (const Policy* policy : policies) {
     if (!selects(*policy)) continue;
@@ -84,14 +84,14 @@
 const Policy* PolicyForTraffic(const std::vector<const Policy*>& policies,
                                const Labels& workspace_labels,
                                std::string_view target) {
-  return FirstBy(policies, [&](const Policy& policy) {
+  return FirstInPrecedence(policies, [&](const Policy& policy) {
     return MatchesTraffic(policy, workspace_labels, target);
   });
 }
 
 const Policy* PolicyForEngine(const std::vector<const Policy*>& policies,
                               const Engine& engine) {
-  return FirstBy(policies, [&](const Policy& policy) {
+  return FirstInPrecedence(policies, [&](const Policy& policy) {
     return SelectsEngine(policy, engine);
   });
 }
--- a/libs/objects/tests/objects_test.cc
+++ b/libs/objects/tests/objects_test.cc
@@ -20,14 +20,14 @@
   return std::get<FieldErrors>(parsed);
 }
 
-// The policy that a request of the workspace falls under, or null.
-const Policy* WinnerFor(const Catalog& catalog, const std::string& workspace,
+// The policy that applies to a request of the workspace, or null.
+const Policy* PolicyFor(const Catalog& catalog, const std::string& workspace,
                         const std::string& target) {
   return PolicyForTraffic(catalog.AllPolicies(),
                           catalog.workspaces().at(workspace).labels, target);
 }
 
-// Name of the policy whose sharing is in force on the engine.
+// Name of the policy that sets the sharing of the engine.
 std::string SharingOf(const Catalog& catalog, const std::string& engine) {
   const Policy* policy =
       PolicyForEngine(catalog.AllPolicies(), catalog.engines().at(engine));
@@ -55,7 +55,7 @@
   REQUIRE_FALSE(Matches(selector, old));
 }
 
-TEST_CASE("each wrong field is named with what was seen and is allowed") {
+TEST_CASE("each invalid field is reported with its value and what is allowed") {
   const FieldErrors errors = ErrorsOfPolicy(
       R"({"spec":{"priority":1.5,"sharing":"half","batch_share":2,"traffic":)"
       R"({"in":{"tier":["a",7]},"target":[]},"prio":3},"label":{}})");
@@ -73,7 +73,7 @@
   REQUIRE(ErrorsOfPolicy("{}")[0].field == "spec");
 }
 
-TEST_CASE("a complete policy is read") {
+TEST_CASE("a policy with all fields is parsed") {
   const Parsed<Policy> parsed = Parse<Policy>(
       R"({"labels":{"a":"b"},"spec":{"priority":7,"traffic":{"match":{"t":"g"},)"
       R"("targets":["m"]},"engines":{"exists":["gpu"]},"sharing":)"
@@ -87,27 +87,26 @@
   REQUIRE(policy.sharing.reserve_sigma_percent == 150);
 }
 
-// Story: an operator saves a policy with a typing error. Nodes that dropped the
-// broken object would serve that traffic by the default policy, in the middle
-// of a comparison. The last good version has to stay in force everywhere.
-TEST_CASE("an invalid object leaves the last good version in force") {
+// Guards against a typing error in a policy that makes nodes drop the policy
+// and serve its traffic by the default one, for example during a comparison.
+TEST_CASE("an invalid object leaves the last valid version active") {
   Catalog catalog;
   REQUIRE(catalog.Apply("policy", "p", 4, PolicyJson(5), false).outcome ==
           ApplyOutcome::kAccepted);
   const uint64_t digest = catalog.digest();
-  const ApplyResult refused =
+  const ApplyResult rejected =
       catalog.Apply("policy", "p", 9, PolicyJson(5, R"(,"x":1)"), false);
-  REQUIRE(refused.outcome == ApplyOutcome::kInvalid);
-  REQUIRE(refused.errors[0].field == "spec.x");
+  REQUIRE(rejected.outcome == ApplyOutcome::kInvalid);
+  REQUIRE(rejected.errors[0].field == "spec.x");
   REQUIRE(catalog.policies().at("p").version == 4);
   REQUIRE(catalog.digest() == digest);
   REQUIRE(catalog.RejectedObjects()[0].active_version == 4);
   REQUIRE(catalog.revision() == 9);
 }
 
-// Story: a node hears of version 9 by its watch and afterwards of version 4
-// from a list that lags. Adopting the later message would revert an accepted
-// configuration, or bring back a deleted object.
+// Guards against a node that receives version 9 from its watch and then version
+// 4 from a list that lags: applying the later message would revert an accepted
+// configuration or restore a deleted object.
 TEST_CASE("an older version never replaces a newer one") {
   Catalog catalog;
   catalog.Apply("policy", "p", 9, PolicyJson(9), false);
@@ -121,7 +120,7 @@
   REQUIRE(catalog.digest() == Catalog().digest());
 }
 
-TEST_CASE("one total order settles policies, whatever order they came in") {
+TEST_CASE("precedence of policies does not depend on their order of arrival") {
   const std::vector<std::pair<std::string, int>> given = {
       {"b", 5}, {"a", 5}, {"z", 9}, {"c", 1}};
   for (size_t turn = 0; turn < given.size(); ++turn) {
@@ -135,7 +134,7 @@
     catalog.Apply("workspace", "w", 50, R"({"spec":{}})", false);
     catalog.Apply("engine", "e", 51, R"({"spec":{"vm":"v","model":"m"}})",
                   false);
-    REQUIRE(WinnerFor(catalog, "w", "m")->name == "z");
+    REQUIRE(PolicyFor(catalog, "w", "m")->name == "z");
     REQUIRE(SharingOf(catalog, "e") == "z");
     const auto shadowed = catalog.ShadowedPolicies();
     REQUIRE(shadowed.at("z").empty());
@@ -154,7 +153,7 @@
                 PolicyJson(1, R"(,"traffic":{"targets":["m"]})"), false);
   catalog.Apply("workspace", "w", 3, R"({"spec":{}})", false);
   catalog.Apply("engine", "e", 4, R"({"spec":{"vm":"v","model":"m"}})", false);
-  REQUIRE(WinnerFor(catalog, "w", "m")->name == "old");
+  REQUIRE(PolicyFor(catalog, "w", "m")->name == "old");
   const auto selected = [&] {
     return Matches(catalog.policies().at("new").engines,
                    catalog.engines().at("e").labels);
@@ -165,24 +164,25 @@
   catalog.Apply("engine", "e", 6,
                 R"({"labels":{"arm":"new"},"spec":{"vm":"v","model":"m"}})",
                 false);
-  REQUIRE(WinnerFor(catalog, "w", "m")->name == "new");
+  REQUIRE(PolicyFor(catalog, "w", "m")->name == "new");
   REQUIRE(SharingOf(catalog, "e") == "new");
   REQUIRE(selected());
   REQUIRE(catalog.EngineOnVm("v")->name == "e");
 }
 
-// An operator moves twenty engines one by one from an old policy to a new one;
-// neither names any traffic. If such a policy took all traffic, every request
-// would go to the first engine that was moved.
-TEST_CASE("a policy that names no traffic takes none, but sets its engines") {
+// Guards against a policy without traffic conditions that applies to all
+// traffic: while an operator moves twenty engines one by one from such a policy
+// to a new one, every request would go to the first engine moved.
+TEST_CASE(
+    "a policy without traffic conditions only sets its engines' sharing") {
   Catalog catalog;
   catalog.Apply("policy", "p", 1, PolicyJson(5), false);
   catalog.Apply("policy", "q", 2,
                 PolicyJson(4, R"(,"traffic":{"targets":["m"]})"), false);
   catalog.Apply("workspace", "w", 3, R"({"spec":{}})", false);
   catalog.Apply("engine", "e", 4, R"({"spec":{"vm":"v","model":"m"}})", false);
-  REQUIRE(WinnerFor(catalog, "w", "m")->name == "q");
-  REQUIRE(WinnerFor(catalog, "w", "other") == nullptr);
+  REQUIRE(PolicyFor(catalog, "w", "m")->name == "q");
+  REQUIRE(PolicyFor(catalog, "w", "other") == nullptr);
   REQUIRE(SharingOf(catalog, "e") == "p");
 }
 
--- a/libs/settings/include/settings/schema.h
+++ b/libs/settings/include/settings/schema.h
@@ -15,15 +15,16 @@
 
 namespace knapweedstile::settings {
 
-// Whether a key must stand in the file.
+// Whether the file must contain a key.
 enum class Presence { kOptional, kRequired };
 
-// The keys of one kind of settings file, bound to the fields they fill. The
-// same table checks a file as a whole and prints the reference page, so the two
-// cannot drift apart. A field's value at the time it is bound is its default.
+// The keys of one kind of settings file, bound to the fields that they set. One
+// table both validates a file and prints the reference page, so the two cannot
+// diverge. A field's value at the time it is bound is its default.
 class Schema {
  public:
-  // Commands. `path` is "section.key"; the bound field must outlive Load.
+  // Each binds a key to a field. `path` is "section.key"; the bound field must
+  // outlive Load.
   void Text(std::string path, std::string doc, std::string* field,
             Presence presence = Presence::kOptional);
   // "IP:PORT"; port 0 lets the system choose.
@@ -33,20 +34,20 @@
                    std::vector<std::string>* field,
                    Presence presence = Presence::kOptional);
   void Millis(std::string path, std::string doc,
-              std::chrono::milliseconds* field, int64_t least, int64_t most);
-  // A time in seconds; the file may hold a whole number or a fraction.
+              std::chrono::milliseconds* field, int64_t min, int64_t max);
+  // A time in seconds; the file may contain an integer or a real number.
   void Seconds(std::string path, std::string doc,
-               std::chrono::milliseconds* field, double least = 0,
-               double most = 86400);
-  // A whole number or a fraction.
+               std::chrono::milliseconds* field, double min = 0,
+               double max = 86400);
+  // An integer or a real number.
   void Real(std::string path, std::string unit, std::string doc, double* field,
-            double least, double most);
+            double min, double max);
   void Flag(std::string path, std::string doc, bool* field);
 
   template <typename T>
   void Integer(const std::string& path, const std::string& unit,
-               const std::string& doc, T* field, int64_t least, int64_t most) {
-    BindInteger(path, unit, doc, static_cast<int64_t>(*field), least, most,
+               const std::string& doc, T* field, int64_t min, int64_t max) {
+    BindInteger(path, unit, doc, static_cast<int64_t>(*field), min, max,
                 [field](int64_t value) { *field = static_cast<T>(value); });
   }
 
@@ -58,26 +59,26 @@
         [field](std::string_view name) { *field = *ParseEnum<E>(name); });
   }
 
-  // Reads the file and fills every bound field. Returns everything that is
-  // wrong, in the order of the file; the fields hold nothing reliable unless
-  // the list is empty. Unknown keys are errors.
+  // Reads the file and sets the bound fields. Returns all errors in the order
+  // of the file, then the missing required keys; the fields are valid only if
+  // there are none. Unknown keys are errors.
   std::vector<SettingError> Load(const std::string& file) const;
   std::vector<SettingError> LoadText(std::string_view text,
                                      const std::string& file) const;
 
-  // Queries. A Markdown table of every key with unit, allowed values, default.
+  // A Markdown table of every key with its unit, allowed values and default.
   std::string Reference() const;
 
  private:
   struct Key;
 
   void BindInteger(std::string path, std::string unit, std::string doc,
-                   int64_t standard, int64_t least, int64_t most,
+                   int64_t default_value, int64_t min, int64_t max,
                    std::function<void(int64_t)> set);
   void BindNumber(std::string path, std::string unit, std::string doc,
-                  double standard, double least, double most,
+                  double default_value, double min, double max,
                   std::function<void(double)> set);
-  void BindChoice(std::string path, std::string doc, std::string standard,
+  void BindChoice(std::string path, std::string doc, std::string default_value,
                   std::vector<std::string> names,
                   std::function<void(std::string_view)> set);
   const Key* Find(std::string_view path) const;
@@ -89,7 +90,7 @@
     std::string default_value;
     std::string doc;
     Presence presence = Presence::kOptional;
-    // False when the value is not allowed.
+    // Sets the field; returns false if the value is not allowed.
     std::function<bool(const SettingValue&)> apply;
   };
 
--- a/libs/settings/include/settings/setting_error.h
+++ b/libs/settings/include/settings/setting_error.h
@@ -6,13 +6,13 @@
 
 namespace knapweedstile::settings {
 
-// One thing wrong in a settings file.
+// One error in a settings file.
 struct SettingError {
   std::string file;
   uint32_t line = 0;    // zero: the key is absent
   std::string key;      // dotted path
-  std::string value;    // what was seen, empty when absent
-  std::string allowed;  // what would be right
+  std::string value;    // as in the file; empty if absent
+  std::string allowed;  // what is allowed
 
   // `FILE:LINE: KEY: VALUE is not allowed; allowed: ...`
   std::string ToString() const;
--- a/libs/settings/include/settings/setting_value.h
+++ b/libs/settings/include/settings/setting_value.h
@@ -7,7 +7,7 @@
 
 namespace knapweedstile::settings {
 
-// A value read from a settings file, free of the TOML library's types.
+// A value read from a settings file, independent of the TOML library's types.
 struct SettingValue {
   enum class Kind { kText, kInteger, kReal, kFlag, kTextList, kOther };
 
--- a/libs/settings/src/schema.cc
+++ b/libs/settings/src/schema.cc
@@ -88,18 +88,17 @@
 }
 
 void Schema::Millis(std::string path, std::string doc,
-                    std::chrono::milliseconds* field, int64_t least,
-                    int64_t most) {
+                    std::chrono::milliseconds* field, int64_t min,
+                    int64_t max) {
   BindInteger(
-      std::move(path), "ms", std::move(doc), field->count(), least, most,
+      std::move(path), "ms", std::move(doc), field->count(), min, max,
       [field](int64_t value) { *field = std::chrono::milliseconds(value); });
 }
 
 void Schema::Seconds(std::string path, std::string doc,
-                     std::chrono::milliseconds* field, double least,
-                     double most) {
+                     std::chrono::milliseconds* field, double min, double max) {
   BindNumber(std::move(path), "s", std::move(doc),
-             static_cast<double>(field->count()) / 1000, least, most,
+             static_cast<double>(field->count()) / 1000, min, max,
              [field](double seconds) {
                *field = std::chrono::milliseconds(
                    static_cast<int64_t>(seconds * 1000));
@@ -107,17 +106,17 @@
 }
 
 void Schema::Real(std::string path, std::string unit, std::string doc,
-                  double* field, double least, double most) {
-  BindNumber(std::move(path), std::move(unit), std::move(doc), *field, least,
-             most, [field](double value) { *field = value; });
+                  double* field, double min, double max) {
+  BindNumber(std::move(path), std::move(unit), std::move(doc), *field, min, max,
+             [field](double value) { *field = value; });
 }
 
 void Schema::BindNumber(std::string path, std::string unit, std::string doc,
-                        double standard, double least, double most,
+                        double default_value, double min, double max,
                         std::function<void(double)> set) {
   keys_.push_back({std::move(path), std::move(unit),
-                   fmt::format("a number from {} to {}", least, most),
-                   fmt::format("{}", standard), std::move(doc),
+                   fmt::format("a number from {} to {}", min, max),
+                   fmt::format("{}", default_value), std::move(doc),
                    Presence::kOptional,
                    [=, set = std::move(set)](const SettingValue& value) {
                      double number = 0;
@@ -128,7 +127,7 @@
                      } else {
                        return false;
                      }
-                     if (!(number >= least && number <= most)) return false;
+                     if (!(number >= min && number <= max)) return false;
                      set(number);
                      return true;
                    }});
@@ -145,35 +144,38 @@
 }
 
 void Schema::BindInteger(std::string path, std::string unit, std::string doc,
-                         int64_t standard, int64_t least, int64_t most,
+                         int64_t default_value, int64_t min, int64_t max,
                          std::function<void(int64_t)> set) {
-  keys_.push_back(
-      {std::move(path), std::move(unit),
-       fmt::format("a whole number from {} to {}", least, most),
-       std::to_string(standard), std::move(doc), Presence::kOptional,
-       [least, most, set = std::move(set)](const SettingValue& value) {
-         if (value.kind != SettingValue::Kind::kInteger) return false;
-         if (value.integer < least || value.integer > most) return false;
-         set(value.integer);
-         return true;
-       }});
+  keys_.push_back({std::move(path), std::move(unit),
+                   fmt::format("a whole number from {} to {}", min, max),
+                   std::to_string(default_value), std::move(doc),
+                   Presence::kOptional,
+                   [min, max, set = std::move(set)](const SettingValue& value) {
+                     if (value.kind != SettingValue::Kind::kInteger)
+                       return false;
+                     if (value.integer < min || value.integer > max)
+                       return false;
+                     set(value.integer);
+                     return true;
+                   }});
 }
 
-void Schema::BindChoice(std::string path, std::string doc, std::string standard,
+void Schema::BindChoice(std::string path, std::string doc,
+                        std::string default_value,
                         std::vector<std::string> names,
                         std::function<void(std::string_view)> set) {
   std::string allowed = fmt::format("one of {}", fmt::join(names, ", "));
-  keys_.push_back({std::move(path), "name", std::move(allowed),
-                   std::move(standard), std::move(doc), Presence::kOptional,
-                   [names = std::move(names),
-                    set = std::move(set)](const SettingValue& value) {
-                     if (value.kind != SettingValue::Kind::kText) return false;
-                     const auto at =
-                         std::find(names.begin(), names.end(), value.text);
-                     if (at == names.end()) return false;
-                     set(value.text);
-                     return true;
-                   }});
+  keys_.push_back(
+      {std::move(path), "name", std::move(allowed), std::move(default_value),
+       std::move(doc), Presence::kOptional,
+       [names = std::move(names),
+        set = std::move(set)](const SettingValue& value) {
+         if (value.kind != SettingValue::Kind::kText) return false;
+         const auto at = std::find(names.begin(), names.end(), value.text);
+         if (at == names.end()) return false;
+         set(value.text);
+         return true;
+       }});
 }
 
 const Schema::Key* Schema::Find(std::string_view path) const {
@@ -223,11 +225,12 @@
       "| key | unit | allowed | default | what it sets |\n"
       "|---|---|---|---|---|\n";
   for (const Key& key : keys_) {
-    const std::string standard = key.presence == Presence::kRequired
-                                     ? "required"
-                                     : fmt::format("`{}`", key.default_value);
+    const std::string default_value =
+        key.presence == Presence::kRequired
+            ? "required"
+            : fmt::format("`{}`", key.default_value);
     page += fmt::format("| `{}` | {} | {} | {} | {} |\n", key.path, key.unit,
-                        key.allowed, standard, key.doc);
+                        key.allowed, default_value, key.doc);
   }
   return page;
 }
--- a/libs/settings/src/toml_reader.cc
+++ b/libs/settings/src/toml_reader.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <sstream>
 
-// Header-only: Debian's shared library is built with exceptions.
+// Header-only, because Debian's shared library is built with exceptions.
 #define TOML_HEADER_ONLY 1
 #define TOML_EXCEPTIONS 0
 #define TOML_ENABLE_FORMATTERS 1
@@ -21,9 +21,9 @@
   } else if (const auto* integer = node.as_integer()) {
     value.kind = Kind::kInteger;
     value.integer = integer->get();
-  } else if (const auto* fraction = node.as_floating_point()) {
+  } else if (const auto* real = node.as_floating_point()) {
     value.kind = Kind::kReal;
-    value.real = fraction->get();
+    value.real = real->get();
   } else if (const auto* flag = node.as_boolean()) {
     value.kind = Kind::kFlag;
     value.flag = flag->get();
@@ -40,7 +40,7 @@
   return value;
 }
 
-std::string ShownOf(const toml::node& node) {
+std::string ValueTextOf(const toml::node& node) {
   if (const auto* text = node.as_string()) return '"' + text->get() + '"';
   std::ostringstream shown;
   node.visit([&](const auto& typed) { shown << typed; });
@@ -55,7 +55,7 @@
       Collect(*inner, path + ".", leaves);
     } else {
       leaves.push_back(
-          {path, node.source().begin.line, ShownOf(node), ValueOf(node)});
+          {path, node.source().begin.line, ValueTextOf(node), ValueOf(node)});
     }
   }
 }
--- a/libs/settings/src/toml_reader.h
+++ b/libs/settings/src/toml_reader.h
@@ -12,18 +12,18 @@
 
 namespace knapweedstile::settings {
 
-// Reads TOML into a flat list of leaves with their lines; the only user of the
-// TOML library.
+// Reads TOML into a flat list of values with their lines. Only this class uses
+// the TOML library.
 class TomlReader {
  public:
   struct Leaf {
     std::string path;
     uint32_t line = 0;
-    std::string value_text;  // the value as text, for errors
+    std::string value_text;  // as written, for error messages
     SettingValue value;
   };
 
-  // An error when the text is not TOML.
+  // Returns an error if the text is not valid TOML.
   std::optional<SettingError> Parse(std::string_view text,
                                     const std::string& file);
   const std::vector<Leaf>& leaves() const noexcept { return leaves_; }
--- a/libs/settings/tests/schema_test.cc
+++ b/libs/settings/tests/schema_test.cc
@@ -27,7 +27,7 @@
   return schema;
 }
 
-TEST_CASE("a right file fills every field") {
+TEST_CASE("a valid file sets every field") {
   Example example;
   const auto errors = Bind(&example).LoadText(
       "[node]\nname = \"vm-1\"\nlisten = \"127.0.0.1:80\"\n"
@@ -42,7 +42,7 @@
   REQUIRE(example.platform.size() == 2);
 }
 
-TEST_CASE("every error names file, line, key, value and what is allowed") {
+TEST_CASE("each error names file, line, key, value and what is allowed") {
   Example example;
   const auto errors = Bind(&example).LoadText(
       "[node]\nlisten = \"nowhere\"\n[gate]\nslots = 0\nslot = 3\n", "n.toml");
@@ -58,7 +58,7 @@
           "n.toml: node.name: is absent; allowed: any text that is not empty");
 }
 
-TEST_CASE("text that is not TOML is one error with its line") {
+TEST_CASE("invalid TOML is reported as one error with its line") {
   Example example;
   const auto errors = Bind(&example).LoadText("[node\n", "n.toml");
   REQUIRE(errors.size() == 1);
