--- a/libs/platform/include/platform/store_answer.h
+++ b/libs/platform/include/platform/store_answer.h
@@ -14,15 +14,16 @@
 
 enum class StoreOutcome {
   kOk,
-  kConflict,   // the version was not `if_version`; `version` is the present one
+  kConflict,   // the version was not `if_version`; `version` is the current one
   kNotFound,   // no such object
   kNotSent,    // no connection: it did not take effect
-  kThrottled,  // over the quota: it did not take effect; come back later
-  kRejected,   // the platform refuses it for good (too large, malformed)
-  kUnknown,    // the answer is missing: it may have taken effect
-  kCompacted,  // watch: the history asked for is gone; list again
+  kThrottled,  // over the quota: it did not take effect; retry later
+  kRejected,   // rejected for good (too large, malformed)
+  kUnknown,    // no response: it may have taken effect
+  kCompacted,  // watch: the requested history is discarded; list again
 };
 
+// One version of an object. `value` is empty when the object was deleted.
 struct StoredObject {
   std::string kind;
   std::string name;
@@ -31,15 +32,16 @@
   std::string value;
 };
 
+// The result of one StoreRequest.
 struct StoreAnswer {
   uint64_t token = 0;
   StoreOutcome outcome = StoreOutcome::kUnknown;
-  uint64_t version = 0;               // write: the new one; conflict: present
+  uint64_t version = 0;               // write: the new one; conflict: current
   std::vector<StoredObject> objects;  // read: one; list and watch
-  uint64_t revision = 0;              // list and watch: complete up to here
-  bool more = false;  // list and watch: ask again after `revision`, at once
-  Duration retry_after{};  // kThrottled: from the arrival of the answer
-  std::string message;     // for people
+  uint64_t revision = 0;   // list and watch: includes changes up to it
+  bool more = false;       // list and watch: continue from `revision` at once
+  Duration retry_after{};  // kThrottled: counted from the answer's arrival
+  std::string message;     // for humans
 };
 
 }  // namespace knapweedstile::platform
--- a/libs/platform/include/platform/store_request.h
+++ b/libs/platform/include/platform/store_request.h
@@ -10,17 +10,17 @@
 
 namespace knapweedstile::platform {
 
-// A call to the platform's object API. `token` is chosen by the asker and comes
-// back in the answer. Versions are positions in the store's history: a later
-// change of any object has a higher one.
+// Calls to the platform's object API. Versions are positions in the store's
+// history: a later change of any object has a higher version.
 
+// Reads one object.
 struct ReadRequest {
   std::string kind;
   std::string name;
 };
 
-// Takes effect only when the object's version is still `if_version`; zero: only
-// when no such object exists. Values hold up to kMaxValueBytes.
+// Takes effect only if the object's version is still `if_version`; zero: only
+// if no such object exists. Values hold at most kMaxValueBytes.
 struct WriteRequest {
   std::string kind;
   std::string name;
@@ -28,40 +28,43 @@
   std::string value;
 };
 
+// Takes effect only if the object's version is still `if_version`; zero: at any
+// version.
 struct DeleteRequest {
   std::string kind;
   std::string name;
   uint64_t if_version = 0;
 };
 
-// All objects of `kind`.
+// Lists all objects of `kind`.
 struct ListRequest {
   std::string kind;
-  // May be answered with a state that is seconds old, at a tenth of the price;
-  // a watch from the answer's revision brings what has changed since.
+  // Allows a state that is seconds old, at a tenth of the quota cost; a watch
+  // from the answer's revision returns the changes since then.
   bool may_be_stale = false;
 };
 
-// Objects of `kind` that changed after `after`, answered when there are any or
-// when `wait_until` has come (then empty).
+// Returns the objects of `kind` that changed after revision `after` as soon as
+// there are any, or an empty list at `wait_until`.
 struct WatchRequest {
   std::string kind;
   uint64_t after = 0;
   TimePoint wait_until;
-  // Beyond that, for the answer to arrive.
+  // When the client stops waiting for the response; later than `wait_until`.
   TimePoint give_up_at;
 };
 
 using StoreCall = std::variant<ReadRequest, WriteRequest, DeleteRequest,
                                ListRequest, WatchRequest>;
 
+// `token` is chosen by the requester and returned in the answer.
 struct StoreRequest {
   uint64_t token = 0;
   StoreCall call;
   TimePoint deadline = kNever;
 };
 
-// Largest value that the platform takes.
+// Largest value that the platform accepts.
 inline constexpr size_t kMaxValueBytes = 1 << 20;
 
 }  // namespace knapweedstile::platform
