--- a/libs/base/include/base/clock.h
+++ b/libs/base/include/base/clock.h
@@ -9,14 +9,14 @@
 
 namespace knapweedstile {
 
-// The process's clocks. Only the shells of a process read them; modules under
-// libs/decide and libs/jobs take the time as an argument.
+// The process's monotonic clock. Only code that does I/O reads the clocks;
+// modules under libs/decide and libs/jobs take the time as an argument.
 inline TimePoint MonotonicNow() noexcept {
   return std::chrono::steady_clock::now();
 }
 
-// As MonotonicNow(), but time in which the VM was suspended counts. Only to
-// notice that: deadlines are on the other clock.
+// Like MonotonicNow(), but includes time during which the VM was suspended.
+// Used only to detect such suspensions; deadlines use MonotonicNow().
 inline TimePoint BootNow() noexcept {
   timespec now{};
   clock_gettime(CLOCK_BOOTTIME, &now);
@@ -24,8 +24,8 @@
                    std::chrono::nanoseconds(now.tv_nsec));
 }
 
-// Wall clock in nanoseconds since the Unix epoch, for the time line and for
-// what people read. Never used to decide.
+// Wall clock in nanoseconds since the Unix epoch, for the timeline and for
+// output that humans read. No decision may depend on it.
 inline int64_t WallClockNanos() noexcept {
   return std::chrono::duration_cast<std::chrono::nanoseconds>(
              std::chrono::system_clock::now().time_since_epoch())
--- a/libs/base/include/base/enum_names.h
+++ b/libs/base/include/base/enum_names.h
@@ -8,8 +8,8 @@
 
 namespace knapweedstile {
 
-// The table of names of an enum class whose values count from zero. Specialize
-// `kEnumNames<E>` beside the enum:
+// The names of an enum class whose values are numbered from zero without gaps.
+// Specialize `kEnumNames<E>` next to the enum:
 //
 //   template <>
 //   inline constexpr std::array<std::string_view, 2> kEnumNames<TrafficClass> =
@@ -17,12 +17,14 @@
 template <typename E>
 inline constexpr std::array<std::string_view, 0> kEnumNames = {};
 
+// The name of `value`, or "invalid" when it is out of range.
 template <typename E>
 constexpr std::string_view NameOf(E value) noexcept {
   const auto index = static_cast<size_t>(value);
   return index < kEnumNames<E>.size() ? kEnumNames<E>[index] : "invalid";
 }
 
+// The value called `name`; nullopt when there is none.
 template <typename E>
 constexpr std::optional<E> ParseEnum(std::string_view name) noexcept {
   for (size_t i = 0; i < kEnumNames<E>.size(); ++i) {
--- a/libs/base/include/base/error.h
+++ b/libs/base/include/base/error.h
@@ -10,18 +10,17 @@
 
 namespace knapweedstile {
 
-// What kind of failure an operation ended with. Outcomes are values; nothing
-// in the public APIs throws.
+// The kind of a failure. Public APIs return errors as values and do not throw.
 enum class ErrorCode {
-  kInvalid,      // the input is wrong and stays wrong
+  kInvalid,      // the input is invalid; retrying does not help
   kNotFound,     // no such object
-  kConflict,     // the version has moved on
-  kUnavailable,  // the other side cannot be reached; nothing was sent
-  kUnknown,      // sent, but the answer is missing: it may have taken effect
-  kExhausted,    // a limit was reached; come back later
+  kConflict,     // the object has another version than expected
+  kUnavailable,  // the peer is unreachable; nothing was sent
+  kUnknown,      // sent, but no response: it may have taken effect
+  kExhausted,    // a limit was reached; retry later
   kDeadline,     // the deadline passed
-  kCancelled,    // the asker gave up
-  kInternal,     // a fault of this program
+  kCancelled,    // cancelled by the requester
+  kInternal,     // a bug in this program
 };
 
 template <>
@@ -29,7 +28,7 @@
     "invalid",   "not_found", "conflict",  "unavailable", "unknown",
     "exhausted", "deadline",  "cancelled", "internal"};
 
-// A typed error with a message for people.
+// An error code and a message for humans.
 struct Error {
   ErrorCode code = ErrorCode::kInternal;
   std::string message;
@@ -38,7 +37,7 @@
 template <typename T>
 using Result = boost::leaf::result<T>;
 
-// Makes a failed Result that carries an Error.
+// Creates the error of a failed Result.
 inline boost::leaf::error_id Fail(ErrorCode code, std::string message) {
   return boost::leaf::new_error(Error{code, std::move(message)});
 }
--- a/libs/base/include/base/hash.h
+++ b/libs/base/include/base/hash.h
@@ -7,14 +7,14 @@
 
 namespace knapweedstile {
 
-// Stable 64-bit hash (XXH3): the same in every process and release, so that two
-// nodes agree on rendezvous placement, fingerprints and job ids.
+// Stable 64-bit hash (XXH3): equal in every process and release, so that all
+// nodes agree on rendezvous hashing, fingerprints and job ids.
 uint64_t Hash64(std::string_view text, uint64_t seed = 0) noexcept;
 
 // Combines two hashes; not commutative.
 uint64_t HashCombine(uint64_t a, uint64_t b) noexcept;
 
-// Sixteen lower-case hexadecimal digits.
+// Formats `value` as 16 lower-case hexadecimal digits.
 std::string HexOf(uint64_t value);
 
 }  // namespace knapweedstile
--- a/libs/base/include/base/id.h
+++ b/libs/base/include/base/id.h
@@ -7,9 +7,9 @@
 
 namespace knapweedstile {
 
-// A typed handle to an object that lives in one manager's container. Ids of
-// different kinds do not mix, and an id never dangles: a manager that no longer
-// holds the object says so. Zero is "no object".
+// A typed handle to an object that one manager owns. Ids of different kinds do
+// not convert to each other. An id cannot dangle: the lookup of an object that
+// was removed finds nothing. Zero means "no object".
 template <typename Tag>
 class Id {
  public:
@@ -18,25 +18,25 @@
 
   constexpr uint64_t value() const noexcept { return value_; }
   constexpr explicit operator bool() const noexcept { return value_ != 0; }
-  // clang-tidy 14 takes the zero of a defaulted comparison for a null pointer.
-  // NOLINTNEXTLINE(modernize-use-nullptr)
+  // clang-tidy 14 mistakes the zero in a defaulted comparison for a null
+  // pointer. NOLINTNEXTLINE(modernize-use-nullptr)
   constexpr auto operator<=>(const Id&) const noexcept = default;
 
  private:
   uint64_t value_ = 0;
 };
 
-// A request of a caller, or one batch item while it is dispatched.
+// A caller's request, or one dispatched batch item.
 using RequestId = Id<struct RequestTag>;
-// One sending of a request to one backend server.
+// One attempt to run a request on one backend server.
 using AttemptId = Id<struct AttemptTag>;
-// A backend server as one node knows it.
+// A backend server, as seen by one node.
 using BackendServerId = Id<struct BackendServerTag>;
 // A connection to another process of the system.
 using PeerId = Id<struct PeerTag>;
 // A stream on such a connection.
 using StreamId = Id<struct StreamTag>;
-// One HTTP request and its response, on either side.
+// One HTTP request and its response, on the client or server side.
 using ExchangeId = Id<struct ExchangeTag>;
 
 }  // namespace knapweedstile
--- a/libs/base/include/base/log.h
+++ b/libs/base/include/base/log.h
@@ -19,7 +19,8 @@
 inline constexpr std::array<std::string_view, 4> kEnumNames<LogLevel> = {
     "debug", "info", "warning", "error"};
 
-// One field of a log line. Values with spaces, quotes or '=' are quoted.
+// One field of a log line. Empty values and those with white space, quotes, '='
+// or backslashes are quoted.
 struct LogField {
   template <typename T>
   LogField(std::string_view name, const T& content)
@@ -29,22 +30,22 @@
   std::string value;
 };
 
-// Where lines are written.
+// Where log lines are written.
 enum class LogStream { kStandardError, kStandardOutput };
 
-// Sets the least level that is written and the name of this process, which
-// stands in every line. Call once, before threads start.
-void ConfigureLog(LogLevel least, std::string node,
+// Sets the lowest level that is written and the node name that every line
+// contains. Call once, before threads start.
+void ConfigureLog(LogLevel min_level, std::string node,
                   LogStream stream = LogStream::kStandardError);
 
 // Writes one line `time=... level=... node=... event=NAME key=value...` with a
-// single write, so lines of threads never mix.
+// single write, so that lines do not interleave.
 //
-// Failure guarded against: a reader of the log that stalls would stop the
-// process in its next line, and a storm of lines would take the time that
-// requests need. A line that cannot be written at once, or is beyond the budget
-// of its kind (log_budget.h), is dropped; the next one says how many were
-// (`log_dropped`). Call from one thread.
+// Guards against a stalled log reader, which would block the process at its
+// next line, and against bursts of lines that take the processor time of
+// requests. A line that cannot be written at once to standard output, or that
+// exceeds the budget of its level (log_budget.h), is dropped; the next line
+// reports the number of dropped ones (`log_dropped`). Call from one thread.
 void Log(LogLevel level, std::string_view event,
          std::initializer_list<LogField> fields = {});
 
--- a/libs/base/include/base/log_budget.h
+++ b/libs/base/include/base/log_budget.h
@@ -7,33 +7,33 @@
 
 namespace knapweedstile {
 
-// A bound on lines a second: `per_second` of them on average, `burst` at once.
+// A token bucket for log lines: `per_second` lines on average, `burst` at once.
 //
-// Load pattern: overload, in which each of thousands of requests a second ends
-// with a line. Without the bound logging takes the processor time that the
-// requests lack, and fills the disk of who keeps the logs.
+// Bounds the cost of logging under overload, when each of thousands of requests
+// a second writes a line: unbounded logging would take processor time from
+// requests and fill the disks that store the logs.
 class LogBudget {
  public:
   LogBudget(double per_second, double burst)
-      : per_second_(per_second), burst_(burst), left_(burst) {}
-
-  // Whether a line may be written now.
-  bool Take(TimePoint now) {
-    if (now > filled_at_) {
-      left_ =
-          std::min(burst_, left_ + ToSeconds(now - filled_at_) * per_second_);
-      filled_at_ = now;
+      : per_second_(per_second), burst_(burst), tokens_(burst) {}
+
+  // Takes one token; false when there is none, and the line must be dropped.
+  bool TryAcquire(TimePoint now) {
+    if (now > refilled_at_) {
+      tokens_ = std::min(burst_,
+                         tokens_ + ToSeconds(now - refilled_at_) * per_second_);
+      refilled_at_ = now;
     }
-    if (left_ < 1) return false;
-    left_ -= 1;
+    if (tokens_ < 1) return false;
+    tokens_ -= 1;
     return true;
   }
 
  private:
   double per_second_;
   double burst_;
-  double left_;
-  TimePoint filled_at_{};
+  double tokens_;
+  TimePoint refilled_at_{};
 };
 
 }  // namespace knapweedstile
--- a/libs/base/include/base/rng.h
+++ b/libs/base/include/base/rng.h
@@ -6,8 +6,8 @@
 
 namespace knapweedstile {
 
-// Random numbers of the decision modules: always seeded from outside, so that a
-// run can be repeated from its seed.
+// Random number generator of the decision modules. The caller always provides
+// the seed, so that a run can be reproduced.
 using Rng = std::mt19937_64;
 
 // Uniform in [0, bound); bound must be positive. Same result on every standard
--- a/libs/base/include/base/time.h
+++ b/libs/base/include/base/time.h
@@ -5,16 +5,16 @@
 
 namespace knapweedstile {
 
-// A point on this process's monotonic clock. Deadlines are stored as such
-// points, never as durations; between processes the remaining budget travels
-// and the receiver makes its own deadline at once, since the clocks of two VMs
-// do not agree (docs/design/clashes.md).
+// A point on this process's monotonic clock. Deadlines are stored as time
+// points, never as durations. Processes send each other the remaining time,
+// from which the receiver computes its own deadline on arrival, since the
+// clocks of two VMs differ (docs/design/clashes.md).
 using TimePoint = std::chrono::steady_clock::time_point;
 using Duration = std::chrono::steady_clock::duration;
 
 constexpr TimePoint kNever = TimePoint::max();
 
-// Time left until `deadline` at `now`, never negative.
+// Time from `now` until `deadline`, or zero when it has passed.
 constexpr Duration Remaining(TimePoint deadline, TimePoint now) noexcept {
   return deadline > now ? deadline - now : Duration::zero();
 }
--- a/libs/base/include/base/traffic_class.h
+++ b/libs/base/include/base/traffic_class.h
@@ -8,7 +8,7 @@
 
 namespace knapweedstile {
 
-// Online callers wait for their answer; batch items are due much later.
+// Online callers wait for their response; batch items may complete much later.
 enum class TrafficClass { kOnline, kBatch };
 
 template <>
--- a/libs/base/src/log.cc
+++ b/libs/base/src/log.cc
@@ -14,27 +14,28 @@
 namespace knapweedstile {
 namespace {
 
-LogLevel g_least = LogLevel::kInfo;
+LogLevel g_min_level = LogLevel::kInfo;
 std::string g_node = "-";  // NOLINT(runtime/string)
 int g_descriptor = STDERR_FILENO;
 std::atomic<uint64_t> g_dropped{0};
 
-// What a gateway writes at ten times its usual traffic of some 25 requests a
-// second; lines of what failed have a budget of their own, twice as large, so
-// that those of what went well do not use it up.
+// The lines of a gateway at ten times its usual traffic of about 25 requests a
+// second. Warnings and errors have a separate budget, twice as large, so that
+// lines about successful requests cannot exhaust it.
 constexpr double kLinesPerSecond = 300;
-constexpr double kFailureLinesPerSecond = 600;
+constexpr double kWarningLinesPerSecond = 600;
 constexpr double kBurstSeconds = 2;
-LogBudget g_lines(kLinesPerSecond, kLinesPerSecond* kBurstSeconds);
-LogBudget g_failure_lines(kFailureLinesPerSecond,
-                          kFailureLinesPerSecond* kBurstSeconds);
+LogBudget g_info_budget(kLinesPerSecond, kLinesPerSecond* kBurstSeconds);
+LogBudget g_warning_budget(kWarningLinesPerSecond,
+                           kWarningLinesPerSecond* kBurstSeconds);
 
-bool WithinBudget(LogLevel level) {
-  LogBudget& budget = level >= LogLevel::kWarning ? g_failure_lines : g_lines;
-  return budget.Take(MonotonicNow());
+bool TryAcquireBudget(LogLevel level) {
+  LogBudget& budget =
+      level >= LogLevel::kWarning ? g_warning_budget : g_info_budget;
+  return budget.TryAcquire(MonotonicNow());
 }
 
-// Whether the descriptor takes bytes without blocking.
+// Whether the descriptor accepts bytes without blocking.
 bool Writable() {
   pollfd descriptor{.fd = g_descriptor, .events = POLLOUT, .revents = 0};
   return ::poll(&descriptor, 1, 0) == 1 && (descriptor.revents & POLLOUT) != 0;
@@ -66,8 +67,8 @@
 
 }  // namespace
 
-void ConfigureLog(LogLevel least, std::string node, LogStream stream) {
-  g_least = least;
+void ConfigureLog(LogLevel min_level, std::string node, LogStream stream) {
+  g_min_level = min_level;
   g_node = std::move(node);
   g_descriptor =
       stream == LogStream::kStandardOutput ? STDOUT_FILENO : STDERR_FILENO;
@@ -75,8 +76,8 @@
 
 void Log(LogLevel level, std::string_view event,
          std::initializer_list<LogField> fields) {
-  if (level < g_least) return;
-  if (!WithinBudget(level)) {
+  if (level < g_min_level) return;
+  if (!TryAcquireBudget(level)) {
     g_dropped.fetch_add(1, std::memory_order_relaxed);
     return;
   }
@@ -103,7 +104,7 @@
     fmt::format_to(std::back_inserter(line), " log_dropped={}", dropped);
   }
   line.push_back('\n');
-  // A log line that cannot be written has nowhere else to go.
+  // A failed write cannot be reported anywhere else.
   [[maybe_unused]] const auto written =
       ::write(g_descriptor, line.data(), line.size());
 }
--- a/libs/http/include/http/client.h
+++ b/libs/http/include/http/client.h
@@ -14,12 +14,11 @@
 namespace knapweedstile::http {
 
 // HTTP/1.1 client over Boost.Beast with a small pool of idle connections for
-// each address. Lives on the thread of `io`.
+// each address. Used only on the thread of `io`.
 //
-// Failure guarded against: a pooled connection that the other end has just
-// closed. A request that fails on a reused connection before any response byte
-// is reported kLost unless no byte of it was written; the client never sends a
-// request twice by itself.
+// Guards against a pooled connection that the server has just closed: a request
+// that fails on a reused connection before any response byte is reported as
+// kLost unless no byte of it was written. The client never retries a request.
 class Client {
  public:
   using EventSink = std::function<void(ClientEvent&&)>;
@@ -30,13 +29,15 @@
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
 
+  // Starts an exchange. Events follow on the sink, never from inside Send();
+  // the last is an EndEvent.
   void Send(ClientRequest&& request);
-  // Cuts the exchange's connection; no event follows.
+  // Closes the exchange's connection; no event follows.
   void Cancel(ExchangeId exchange);
   // Closes all idle connections.
   void Close();
-  // Closes the idle connections to one address: its process has been replaced,
-  // and a request on one of them would be lost.
+  // Closes the idle connections to `address`. To be called when the process
+  // there was replaced: a request on an old connection would be lost.
   void CloseIdle(const std::string& address);
 
  private:
--- a/libs/http/include/http/client_event.h
+++ b/libs/http/include/http/client_event.h
@@ -13,32 +13,33 @@
 namespace knapweedstile::http {
 
 enum class ClientOutcome {
-  kComplete,  // the whole response arrived
-  kNotSent,   // no connection: no byte of the request was written
-  kLost,      // written at least in part, but no whole response: unknown
-  kDeadline,  // the deadline passed after bytes were written: unknown
+  kComplete,  // the full response arrived
+  kNotSent,   // no byte of the request was written: it did not run
+  kLost,      // bytes were written, no complete response: it may have run
+  kDeadline,  // bytes were written, the deadline passed: it may have run
 };
 
-// Only for stream_body: status line and headers.
+// Status line and headers. Sent only when stream_body is set.
 struct HeadEvent {
   ExchangeId exchange;
   unsigned status = 0;
   HeaderList headers;
 };
 
+// A part of the body. Sent only when stream_body is set.
 struct BodyEvent {
   ExchangeId exchange;
   std::string data;
 };
 
-// Always the last one, unless the asker cancelled.
+// The last event of an exchange that was not cancelled.
 struct EndEvent {
   ExchangeId exchange;
   ClientOutcome outcome = ClientOutcome::kNotSent;
-  unsigned status = 0;  // zero when no head arrived
+  unsigned status = 0;  // zero when no response head arrived
   HeaderList headers;
-  std::string body;     // whole body when not stream_body
-  std::string message;  // for people, when not kComplete
+  std::string body;     // full body when not stream_body
+  std::string message;  // for humans, when not kComplete
 };
 
 using ClientEvent = std::variant<HeadEvent, BodyEvent, EndEvent>;
--- a/libs/http/include/http/client_request.h
+++ b/libs/http/include/http/client_request.h
@@ -9,15 +9,17 @@
 
 namespace knapweedstile::http {
 
+// Host and Content-Length are added when the request is sent.
 struct ClientRequest {
-  ExchangeId exchange;  // chosen by the asker
+  ExchangeId exchange;  // chosen by the requester, unique per client
   std::string address;  // "IP:PORT"
   std::string method = "GET";
   std::string target = "/";
   HeaderList headers;
   std::string body;
   TimePoint deadline = kNever;
-  // True: the body comes in pieces as BodyEvent; false: whole in EndEvent.
+  // True: the response body arrives in BodyEvents; false: in EndEvent,
+  // complete.
   bool stream_body = false;
 };
 
--- a/libs/http/include/http/client_settings.h
+++ b/libs/http/include/http/client_settings.h
@@ -9,9 +9,9 @@
 struct ClientSettings {
   std::chrono::milliseconds connect_timeout{1000};
   std::chrono::milliseconds idle_timeout{20000};
-  // A connection whose other end acknowledges nothing for about this long is
-  // cut; zero leaves it to the kernel, which takes minutes. Guards against
-  // connections that go silent without a reset: nothing else shows it.
+  // A connection whose peer acknowledges nothing for about this long is closed;
+  // zero leaves it to the kernel, which takes minutes. Guards against peers
+  // that become unreachable without a reset: nothing else detects them.
   std::chrono::milliseconds silence_timeout{0};
   uint32_t max_idle_per_address = 64;
   uint64_t max_response_bytes = 64 << 20;
--- a/libs/http/include/http/header_list.h
+++ b/libs/http/include/http/header_list.h
@@ -8,13 +8,13 @@
 
 namespace knapweedstile::http {
 
-// Header fields in order; names compare without regard to case.
+// Header fields in insertion order; names are case-insensitive.
 class HeaderList {
  public:
   void Add(std::string name, std::string value) {
     fields_.emplace_back(std::move(name), std::move(value));
   }
-  // The first value of `name`, or empty.
+  // The value of the first field called `name`; empty when there is none.
   std::string_view Find(std::string_view name) const noexcept;
   const std::vector<std::pair<std::string, std::string>>& fields()
       const noexcept {
--- a/libs/http/include/http/server.h
+++ b/libs/http/include/http/server.h
@@ -15,14 +15,15 @@
 
 namespace knapweedstile::http {
 
-// HTTP/1.1 server over Boost.Beast. Lives on the thread of `io`: every call and
-// every event happens there. Requests that break a limit are answered by the
-// server itself (400, 408, 413, 431, 503) in the OpenAI error shape and never
-// become events.
+// HTTP/1.1 server over Boost.Beast. Every call and every event happens on the
+// thread of `io`. The server itself rejects requests that exceed a limit (400,
+// 408, 413, 431, 503) with an error object in the OpenAI format; they cause no
+// event.
 class Server {
  public:
-  // False when the event cannot be taken now: answered 503 with
-  // Retry-After by the server, a true "not run".
+  // Returns false when the event cannot be accepted now. The server then
+  // responds to a request with 503 and Retry-After, marked as not run, and
+  // delivers a disconnect again later.
   using EventSink = std::function<bool(ServerEvent&&)>;
 
   Server(boost::asio::io_context& io, const ServerSettings& settings,
@@ -31,23 +32,26 @@
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
 
-  // Listens on `address` ("IP:PORT", port 0 picks one); the port bound.
+  // Listens on `address` ("IP:PORT"; port 0 picks a free one). Returns the
+  // bound port, or kInvalid or kUnavailable.
   Result<uint16_t> Listen(const std::string& address);
+  // Ignored when the exchange has ended.
   void Execute(ServerCommand&& command);
-  // Limits for requests that begin from now on.
+  // Applies to requests that begin after the call. Sizes are in bytes.
   void SetLimits(uint32_t max_header_bytes, uint64_t max_body_bytes,
                  std::chrono::milliseconds header_timeout,
                  std::chrono::milliseconds idle_timeout);
-  // From now on every response asks its caller to leave: `Connection: close`.
-  // New connections are still taken, for callers that do not know yet.
+  // Adds `Connection: close` to every response from now on. New connections are
+  // still accepted, from callers that have not switched over yet.
   void BeginDraining();
-  // Graceful shutdown: stops listening, answers what is in flight with
-  // `Connection: close`, closes idle connections.
+  // Graceful shutdown: stops listening, completes exchanges in flight with
+  // `Connection: close`, and closes idle connections after a short grace
+  // period.
   void StopAccepting();
-  // Cuts what is left.
+  // Closes all remaining connections at once; no events follow.
   void Close();
 
-  // Exchanges whose response is not complete.
+  // Number of exchanges whose response is not complete.
   size_t open_exchanges() const noexcept;
   size_t open_connections() const noexcept;
 
--- a/libs/http/include/http/server_command.h
+++ b/libs/http/include/http/server_command.h
@@ -9,7 +9,7 @@
 
 namespace knapweedstile::http {
 
-// A whole response. Content-Length is added by the server.
+// Sends a complete response. The server adds Content-Length.
 struct RespondCommand {
   ExchangeId exchange;
   unsigned status = 200;
@@ -24,14 +24,15 @@
   HeaderList headers;
 };
 
-// One piece of it; the last one ends the response.
+// Sends one chunk of the response; the last one ends it.
 struct StreamChunkCommand {
   ExchangeId exchange;
   std::string data;
   bool last = false;
 };
 
-// Cuts the connection: the response cannot be completed truthfully.
+// Closes the connection, so that the caller cannot take a truncated response
+// for a complete one.
 struct AbortCommand {
   ExchangeId exchange;
 };
--- a/libs/http/include/http/server_event.h
+++ b/libs/http/include/http/server_event.h
@@ -10,7 +10,7 @@
 
 namespace knapweedstile::http {
 
-// A whole request has been read within the limits.
+// A complete request was read within the limits.
 struct RequestEvent {
   ExchangeId exchange;
   std::string method;
@@ -20,7 +20,8 @@
   TimePoint received_at;  // when its first byte was read
 };
 
-// The client went away before the response was complete.
+// The caller disconnected, or was disconnected for reading too slowly, before
+// the response was complete.
 struct DisconnectEvent {
   ExchangeId exchange;
 };
--- a/libs/http/include/http/server_settings.h
+++ b/libs/http/include/http/server_settings.h
@@ -7,22 +7,24 @@
 namespace knapweedstile::http {
 
 struct ServerSettings {
-  // Exchanges are numbered from here on, so that those of two servers of one
-  // process can be told apart.
+  // Id of the first exchange. Servers of one process need disjoint ranges to
+  // distinguish their exchanges.
   uint64_t first_exchange = 1;
   uint32_t max_connections = 10000;
   uint32_t max_header_bytes = 16 << 10;
   uint64_t max_body_bytes = 64 << 20;
-  // The header and then the body must each be read within this time, whatever
-  // trickles in (slow senders, half-open connections).
+  // Limits for reading the full header and then the full body. Partial data
+  // does not extend them, which bounds slow senders and half-open connections.
   std::chrono::milliseconds header_timeout{10000};
   std::chrono::milliseconds body_timeout{60000};
   std::chrono::milliseconds idle_timeout{75000};
-  // A client that does not read its response for this long is cut off.
+  // The connection of a caller that reads nothing of its response for this long
+  // is closed.
   std::chrono::milliseconds write_timeout{30000};
-  // Unsent bytes of one streamed response before its connection is cut.
+  // Maximum unsent bytes of one streamed response; beyond it the connection is
+  // closed.
   uint32_t max_unsent_bytes = 4 << 20;
-  // Whole request bodies held at once over all connections.
+  // Maximum bytes of request bodies buffered over all connections.
   uint64_t max_total_body_bytes = 512ULL << 20;
 };
 
--- a/libs/http/src/client_connection.h
+++ b/libs/http/src/client_connection.h
@@ -14,18 +14,18 @@
 
 namespace knapweedstile::http {
 
-// Ids are never used twice, so a handler that comes late finds no connection in
-// place of a wrong one.
+// Ids are never reused, so a late completion handler finds no connection rather
+// than another one.
 using ClientConnectionId = Id<struct ClientConnectionTag>;
 
 enum class ClientPhase {
-  kFailed,      // could not even begin; its end event is on the way
+  kFailed,      // not sendable; the EndEvent is scheduled
   kConnecting,  // no byte of the request has been written
   kExchange,    // the request is being written or the response read
   kIdle,        // in the pool
 };
 
-// State of one connection to a server; Client::Impl holds them.
+// State of one connection to a server, owned by Client::Impl.
 struct ClientConnection {
   using Parser =
       boost::beast::http::response_parser<boost::beast::http::string_body>;
@@ -36,15 +36,16 @@
   ClientConnectionId id;
   boost::asio::ip::tcp::socket socket;
   boost::asio::steady_timer timer;
-  TimePoint timer_at = kNever;  // what the timer is set to
+  TimePoint timer_at = kNever;  // expiry of `timer`
   ClientPhase phase = ClientPhase::kConnecting;
   std::string address;
-  TimePoint deadline = kNever;  // of the phase
-  Duration idle_limit{};        // how long it may wait in the pool
-  bool read_waiting = false;
-  bool write_waiting = false;
+  TimePoint deadline = kNever;  // of the current phase
+  Duration idle_limit{};        // maximum time in the pool
+  // Whether an async_wait for the socket is outstanding.
+  bool read_pending = false;
+  bool write_pending = false;
 
-  // The exchange in progress.
+  // The current exchange.
   ExchangeId exchange;
   TimePoint request_deadline = kNever;
   std::string out;  // request bytes; those before out_offset are written
@@ -53,9 +54,9 @@
   std::string unparsed;
   bool any_written = false;
   bool stream_body = false;
-  bool head_given = false;
+  bool head_delivered = false;
   bool head_request = false;
-  std::string failure;  // for people, when phase is kFailed
+  std::string failure;  // for humans, when phase is kFailed
 };
 
 }  // namespace knapweedstile::http
--- a/libs/http/src/client_impl.cc
+++ b/libs/http/src/client_impl.cc
@@ -24,17 +24,17 @@
 constexpr size_t kReadBytes = 64 << 10;
 constexpr uint32_t kMaxHeaderBytes = 64 << 10;
 
-bool IsInterim(unsigned status) noexcept { return status / 100 == 1; }
+bool IsInformational(unsigned status) noexcept { return status / 100 == 1; }
 
-// Keep-alive probes and TCP_USER_TIMEOUT: the first finds silence on a
-// connection that waits, the second on one that has unacknowledged bytes.
-void CutWhenSilent(asio::ip::tcp::socket& socket,
-                   std::chrono::milliseconds silence) {
-  if (silence.count() == 0) return;
+// Sets keep-alive probes, which detect an unreachable peer on a connection that
+// waits, and TCP_USER_TIMEOUT, which detects it while bytes are unacknowledged.
+void SetSilenceTimeout(asio::ip::tcp::socket& socket,
+                       std::chrono::milliseconds timeout) {
+  if (timeout.count() == 0) return;
   constexpr int kProbes = 2;
   const int seconds = std::max<int>(
-      1, static_cast<int>(silence.count() / 1000 / (kProbes + 1)));
-  const int millis = static_cast<int>(silence.count());
+      1, static_cast<int>(timeout.count() / 1000 / (kProbes + 1)));
+  const int millis = static_cast<int>(timeout.count());
   const int fd = socket.native_handle();
   ::setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &seconds, sizeof(seconds));
   ::setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &seconds, sizeof(seconds));
@@ -42,17 +42,17 @@
   ::setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &millis, sizeof(millis));
 }
 
-// How long the server says that it keeps an idle connection, halved: a request
-// that crosses the server's close would be lost.
-Duration AnnouncedIdleTime(const beast_http::fields& fields) {
+// Half of the idle timeout that the server announces in Keep-Alive: a request
+// that is sent while the server closes the connection would be lost.
+Duration IdleLimitFromKeepAlive(const beast_http::fields& fields) {
   const auto field = fields[beast_http::field::keep_alive];
   const std::string_view text(field.data(), field.size());
   constexpr std::string_view kTimeout = "timeout=";
-  const size_t at = text.find(kTimeout);
-  if (at == std::string_view::npos) return Duration::max();
+  const size_t position = text.find(kTimeout);
+  if (position == std::string_view::npos) return Duration::max();
   uint32_t seconds = 0;
-  std::from_chars(text.data() + at + kTimeout.size(), text.data() + text.size(),
-                  seconds);
+  std::from_chars(text.data() + position + kTimeout.size(),
+                  text.data() + text.size(), seconds);
   return std::chrono::milliseconds(500) * seconds;
 }
 
@@ -70,7 +70,7 @@
   return found == connections_.end() ? nullptr : found->second.get();
 }
 
-auto Client::Impl::Later(ClientConnectionId id, Member member) {
+auto Client::Impl::MakeHandler(ClientConnectionId id, Member member) {
   return [weak = std::weak_ptr<Impl*>(self_), id,
           member](const error_code& ec = {}) {
     const auto self = weak.lock();
@@ -81,15 +81,16 @@
 }
 
 void Client::Impl::Send(ClientRequest&& request) {
-  Connection* connection = TakeIdle(request.address);
+  Connection* connection = AcquireIdle(request.address);
   const bool reused = connection != nullptr;
-  if (!reused) connection = &NewConnection(request.address);
+  if (!reused) connection = &CreateConnection(request.address);
   const bool sendable = IsSendable(request);
-  Load(*connection, std::move(request));
+  PrepareExchange(*connection, std::move(request));
   if (!sendable) {
     connection->phase = ClientPhase::kFailed;
-    connection->failure = "method, target or header holds a line break";
-    asio::post(io_, Later(connection->id, &Impl::ReportFailure));
+    connection->failure =
+        "method, target or header field contains invalid characters";
+    asio::post(io_, MakeHandler(connection->id, &Impl::ReportFailure));
   } else if (reused) {
     BeginExchange(*connection);
   } else {
@@ -97,22 +98,23 @@
   }
 }
 
-void Client::Impl::Load(Connection& connection, ClientRequest&& request) {
+void Client::Impl::PrepareExchange(Connection& connection,
+                                   ClientRequest&& request) {
   connection.exchange = request.exchange;
   connection.request_deadline = request.deadline;
   connection.stream_body = request.stream_body;
   connection.head_request = request.method == "HEAD";
-  connection.head_given = false;
+  connection.head_delivered = false;
   connection.any_written = false;
   connection.out = RequestHead(request);
   connection.out += request.body;
   connection.out_offset = 0;
   connection.unparsed.clear();
-  NewParser(connection);
+  ResetParser(connection);
   exchanges_[request.exchange] = connection.id;
 }
 
-void Client::Impl::NewParser(Connection& connection) {
+void Client::Impl::ResetParser(Connection& connection) {
   connection.parser.emplace();
   connection.parser->eager(true);
   connection.parser->header_limit(kMaxHeaderBytes);
@@ -120,14 +122,15 @@
   connection.parser->skip(connection.head_request);
 }
 
-Client::Impl::Connection* Client::Impl::TakeIdle(const std::string& address) {
+Client::Impl::Connection* Client::Impl::AcquireIdle(
+    const std::string& address) {
   const auto found = idle_.find(address);
   if (found == idle_.end()) return nullptr;
   while (!found->second.empty()) {
     Connection* connection = Find(found->second.back());
     found->second.pop_back();
     if (!connection) continue;
-    // A connection that the server has closed meanwhile is readable.
+    // A connection that the server has closed is readable.
     error_code ec;
     connection->socket.receive(asio::buffer(scratch_, 1),
                                asio::socket_base::message_peek, ec);
@@ -138,7 +141,7 @@
   return nullptr;
 }
 
-Client::Impl::Connection& Client::Impl::NewConnection(
+Client::Impl::Connection& Client::Impl::CreateConnection(
     const std::string& address) {
   const ClientConnectionId id(++last_connection_);
   Connection& connection =
@@ -154,8 +157,9 @@
   if (endpoint) connection.socket.open(endpoint->protocol(), ec);
   if (!endpoint || ec) {
     connection.phase = ClientPhase::kFailed;
-    connection.failure = endpoint ? ec.message() : "not IP:PORT";
-    asio::post(io_, Later(connection.id, &Impl::ReportFailure));
+    connection.failure =
+        endpoint ? ec.message() : "the address is not of the form IP:PORT";
+    asio::post(io_, MakeHandler(connection.id, &Impl::ReportFailure));
     return;
   }
   connection.phase = ClientPhase::kConnecting;
@@ -178,7 +182,7 @@
   connection.socket.non_blocking(true, ec);
   connection.socket.set_option(asio::ip::tcp::no_delay(true), ec);
   connection.socket.set_option(asio::socket_base::keep_alive(true), ec);
-  CutWhenSilent(connection.socket, settings_.silence_timeout);
+  SetSilenceTimeout(connection.socket, settings_.silence_timeout);
   BeginExchange(connection);
 }
 
@@ -190,19 +194,19 @@
 }
 
 void Client::Impl::WaitReadable(Connection& connection) {
-  if (std::exchange(connection.read_waiting, true)) return;
+  if (std::exchange(connection.read_pending, true)) return;
   connection.socket.async_wait(asio::socket_base::wait_read,
-                               Later(connection.id, &Impl::OnReadable));
+                               MakeHandler(connection.id, &Impl::OnReadable));
 }
 
 void Client::Impl::WaitWritable(Connection& connection) {
-  if (std::exchange(connection.write_waiting, true)) return;
+  if (std::exchange(connection.write_pending, true)) return;
   connection.socket.async_wait(asio::socket_base::wait_write,
-                               Later(connection.id, &Impl::OnWritable));
+                               MakeHandler(connection.id, &Impl::OnWritable));
 }
 
 void Client::Impl::OnWritable(Connection& connection) {
-  connection.write_waiting = false;
+  connection.write_pending = false;
   if (connection.phase == ClientPhase::kExchange) Write(connection);
 }
 
@@ -214,8 +218,8 @@
     connection.out_offset += count;
     if (count > 0) connection.any_written = true;
     if (ec == asio::error::would_block) return WaitWritable(connection);
-    // An answer may have come before the whole request was taken (413): what
-    // has been read decides, so only a connection without one fails here.
+    // The server may respond before it has read the full request (413), so a
+    // write error after the first bytes is left to the read side.
     if (ec) {
       if (connection.any_written) return;
       return Fail(connection, ec.message(), false);
@@ -226,31 +230,33 @@
 }
 
 void Client::Impl::OnReadable(Connection& connection) {
-  connection.read_waiting = false;
+  connection.read_pending = false;
   const ClientConnectionId id = connection.id;
   error_code ec;
   const size_t count = connection.socket.read_some(asio::buffer(scratch_), ec);
   if (ec && ec != asio::error::would_block) {
-    if (ec == asio::error::eof) return OnEnd(connection);
+    if (ec == asio::error::eof) return OnEof(connection);
     return Fail(connection, ec.message(), false);
   }
   if (connection.phase == ClientPhase::kIdle && count > 0) {
-    // Nothing was asked, so this connection is out of step.
+    // Bytes without a request: the connection is out of sync.
     return Erase(connection);
   }
   connection.unparsed.append(scratch_, 0, count);
   Parse(connection);
-  if (Connection* still = Find(id)) WaitReadable(*still);
+  if (Connection* current = Find(id)) WaitReadable(*current);
 }
 
-void Client::Impl::OnEnd(Connection& connection) {
+void Client::Impl::OnEof(Connection& connection) {
   if (connection.phase != ClientPhase::kExchange) return Erase(connection);
   error_code ec;
-  const bool by_end =
+  const bool body_until_eof =
       connection.parser->is_header_done() && connection.parser->need_eof();
-  if (by_end) connection.parser->put_eof(ec);
-  if (by_end && !ec) return Complete(connection);
-  Fail(connection, "the server closed the connection", false);
+  if (body_until_eof) connection.parser->put_eof(ec);
+  if (body_until_eof && !ec) return Complete(connection);
+  Fail(connection,
+       "the server closed the connection before the response was complete",
+       false);
 }
 
 void Client::Impl::Parse(Connection& connection) {
@@ -261,41 +267,41 @@
     const size_t used = parser.put(asio::buffer(connection.unparsed), ec);
     connection.unparsed.erase(0, used);
     if (ec && ec != beast_http::error::need_more) {
-      return Fail(connection, "response: " + ec.message(), false);
+      return Fail(connection, "invalid response: " + ec.message(), false);
     }
-    if (parser.is_header_done() && IsInterim(parser.get().result_int())) {
-      NewParser(connection);
+    if (parser.is_header_done() && IsInformational(parser.get().result_int())) {
+      ResetParser(connection);
       continue;
     }
-    if (parser.is_header_done() && !GiveHead(connection)) return;
-    if (!GiveBody(connection)) return;
+    if (parser.is_header_done() && !DeliverHead(connection)) return;
+    if (!DeliverBody(connection)) return;
     if (parser.is_done()) return Complete(connection);
     if (used == 0) return;
   }
 }
 
-bool Client::Impl::GiveHead(Connection& connection) {
-  if (!connection.stream_body || connection.head_given) return true;
-  connection.head_given = true;
+bool Client::Impl::DeliverHead(Connection& connection) {
+  if (!connection.stream_body || connection.head_delivered) return true;
+  connection.head_delivered = true;
   const ClientConnectionId id = connection.id;
   const ExchangeId exchange = connection.exchange;
   const auto& message = connection.parser->get();
   sink_(HeadEvent{.exchange = exchange,
                   .status = message.result_int(),
                   .headers = ToHeaderList(message)});
-  Connection* still = Find(id);
-  return still && still->exchange == exchange;
+  Connection* current = Find(id);
+  return current && current->exchange == exchange;
 }
 
-bool Client::Impl::GiveBody(Connection& connection) {
+bool Client::Impl::DeliverBody(Connection& connection) {
   if (!connection.stream_body) return true;
   std::string data = std::exchange(connection.parser->get().body(), {});
   if (data.empty()) return true;
   const ClientConnectionId id = connection.id;
   const ExchangeId exchange = connection.exchange;
   sink_(BodyEvent{.exchange = exchange, .data = std::move(data)});
-  Connection* still = Find(id);
-  return still && still->exchange == exchange;
+  Connection* current = Find(id);
+  return current && current->exchange == exchange;
 }
 
 void Client::Impl::Complete(Connection& connection) {
@@ -307,8 +313,8 @@
                  .body = std::move(message.body())};
   const bool reusable = message.keep_alive() && connection.out.empty() &&
                         connection.unparsed.empty();
-  connection.idle_limit =
-      std::min<Duration>(settings_.idle_timeout, AnnouncedIdleTime(message));
+  connection.idle_limit = std::min<Duration>(settings_.idle_timeout,
+                                             IdleLimitFromKeepAlive(message));
   exchanges_.erase(connection.exchange);
   if (reusable) {
     Release(connection);
@@ -386,14 +392,14 @@
 
 void Client::Impl::SetDeadline(Connection& connection, TimePoint deadline) {
   connection.deadline = deadline;
-  // An earlier timer stays: OnTimer sets it again for the rest.
+  // An earlier expiry is kept: OnTimer() then re-arms the timer.
   if (deadline < connection.timer_at) ArmTimer(connection);
 }
 
 void Client::Impl::ArmTimer(Connection& connection) {
   connection.timer_at = connection.deadline;
   connection.timer.expires_at(connection.deadline);
-  connection.timer.async_wait(Later(connection.id, &Impl::OnTimer));
+  connection.timer.async_wait(MakeHandler(connection.id, &Impl::OnTimer));
 }
 
 void Client::Impl::OnTimer(Connection& connection) {
@@ -401,7 +407,7 @@
   if (connection.deadline == kNever) return;
   if (MonotonicNow() < connection.deadline) return ArmTimer(connection);
   const bool connecting = connection.phase == ClientPhase::kConnecting;
-  Fail(connection, connecting ? "connect timeout" : "deadline", true);
+  Fail(connection, connecting ? "connect timeout" : "deadline exceeded", true);
 }
 
 }  // namespace knapweedstile::http
--- a/libs/http/src/client_impl.h
+++ b/libs/http/src/client_impl.h
@@ -11,8 +11,8 @@
 
 namespace knapweedstile::http {
 
-// Holds the connections. As in the server, sockets are non-blocking and are
-// waited for, so a connection may be erased at any time; the sink may call
+// Owns the connections. As in Server::Impl, sockets are non-blocking and only
+// waited for, so a connection may be erased at any time. The sink may call
 // Send() or Cancel() from inside an event, so connections are looked up again
 // after each event.
 class Client::Impl {
@@ -30,14 +30,15 @@
   using Member = void (Impl::*)(Connection&);
 
   Connection* Find(ClientConnectionId id) noexcept;
-  auto Later(ClientConnectionId id, Member member);
+  auto MakeHandler(ClientConnectionId id, Member member);
 
-  // An idle connection to `address` that the server has not closed.
-  Connection* TakeIdle(const std::string& address);
-  Connection& NewConnection(const std::string& address);
+  // Removes an idle connection to `address` that the server has not closed from
+  // the pool; null when there is none.
+  Connection* AcquireIdle(const std::string& address);
+  Connection& CreateConnection(const std::string& address);
   void Connect(Connection& connection);
   void OnConnected(Connection& connection);
-  void Load(Connection& connection, ClientRequest&& request);
+  void PrepareExchange(Connection& connection, ClientRequest&& request);
   void BeginExchange(Connection& connection);
 
   void WaitReadable(Connection& connection);
@@ -45,17 +46,19 @@
   void OnReadable(Connection& connection);
   void OnWritable(Connection& connection);
   void Write(Connection& connection);
-  void OnEnd(Connection& connection);
-  // The connection may be gone afterwards.
+  void OnEof(Connection& connection);
+  // May erase the connection.
   void Parse(Connection& connection);
-  void NewParser(Connection& connection);
-  // False when the connection is gone or has gone on to another exchange.
-  bool GiveHead(Connection& connection);
-  bool GiveBody(Connection& connection);
+  void ResetParser(Connection& connection);
+  // These return false when the connection was erased or is now used for
+  // another exchange.
+  bool DeliverHead(Connection& connection);
+  bool DeliverBody(Connection& connection);
   void Complete(Connection& connection);
   void Release(Connection& connection);
 
-  // Ends the exchange, if any, with the outcome that is true at this point.
+  // Erases the connection and ends its exchange, if any, with the outcome that
+  // the bytes written so far imply.
   void Fail(Connection& connection, std::string message, bool by_deadline);
   void ReportFailure(Connection& connection);
   void Erase(Connection& connection);
@@ -72,7 +75,7 @@
   std::unordered_map<ExchangeId, ClientConnectionId> exchanges_;
   std::unordered_map<std::string, std::vector<ClientConnectionId>> idle_;
   std::string scratch_;
-  // Handlers hold it weakly and do nothing once the client is gone.
+  // Completion handlers hold a weak_ptr and do nothing after destruction.
   std::shared_ptr<Impl*> self_ = std::make_shared<Impl*>(this);
 };
 
--- a/libs/http/src/endpoint.h
+++ b/libs/http/src/endpoint.h
@@ -7,7 +7,8 @@
 
 namespace knapweedstile::http {
 
-// Reads "IP:PORT"; an IPv6 address stands in brackets.
+// Parses "IP:PORT", with an IPv6 address in brackets. Returns nullopt when
+// `address` is malformed or holds a host name.
 std::optional<boost::asio::ip::tcp::endpoint> ParseEndpoint(
     std::string_view address);
 
--- a/libs/http/src/message_text.cc
+++ b/libs/http/src/message_text.cc
@@ -14,23 +14,24 @@
 
 namespace beast_http = boost::beast::http;
 
-// Beast holds the length of a field's name and value in 16 bits.
+// Beast stores the lengths of a field's name and value in 16 bits.
 constexpr size_t kMaxFieldBytes = 32 << 10;
 
-bool HasBreak(std::string_view text) noexcept {
+bool HasLineBreak(std::string_view text) noexcept {
   return text.find_first_of(std::string_view("\r\n\0", 3)) !=
          std::string_view::npos;
 }
 
-bool IsName(std::string_view text) noexcept {
+bool IsValidName(std::string_view text) noexcept {
   return !text.empty() && text.size() < kMaxFieldBytes &&
          std::all_of(text.begin(), text.end(), [](unsigned char c) {
            return c > ' ' && c < 0x7f && c != ':';
          });
 }
 
-bool IsField(std::string_view name, std::string_view value) noexcept {
-  return IsName(name) && value.size() < kMaxFieldBytes && !HasBreak(value);
+bool IsValidField(std::string_view name, std::string_view value) noexcept {
+  return IsValidName(name) && value.size() < kMaxFieldBytes &&
+         !HasLineBreak(value);
 }
 
 boost::beast::string_view View(std::string_view text) noexcept {
@@ -46,7 +47,7 @@
 
 void AddFields(beast_http::fields& fields, const HeaderList& headers) {
   for (const auto& [name, value] : headers.fields()) {
-    if (IsField(name, value)) fields.insert(View(name), View(value));
+    if (IsValidField(name, value)) fields.insert(View(name), View(value));
   }
 }
 
@@ -92,9 +93,9 @@
       std::all_of(request.target.begin(), request.target.end(),
                   [](unsigned char c) { return c > ' ' && c != 0x7f; });
   const auto& fields = request.headers.fields();
-  return IsName(request.method) && plain_target &&
+  return IsValidName(request.method) && plain_target &&
          std::all_of(fields.begin(), fields.end(), [](const auto& field) {
-           return IsField(field.first, field.second);
+           return IsValidField(field.first, field.second);
          });
 }
 
@@ -133,8 +134,8 @@
   return headers;
 }
 
-std::string RefusalBody(std::string_view type, std::string_view code,
-                        std::string_view message) {
+std::string ErrorBody(std::string_view type, std::string_view code,
+                      std::string_view message) {
   return fmt::format(
       R"({{"error":{{"type":"{}","code":"{}","message":"{}","param":null,)"
       R"("request_id":null,"not_run":true}}}})",
--- a/libs/http/src/server_connection.h
+++ b/libs/http/src/server_connection.h
@@ -13,21 +13,21 @@
 
 namespace knapweedstile::http {
 
-// A caller's connection. Ids are never used twice, so a handler that comes late
-// finds no connection in place of a wrong one.
+// A caller's connection. Ids are never reused, so a late completion handler
+// finds no connection rather than another one.
 using ServerConnectionId = Id<struct ServerConnectionTag>;
 
 enum class ServerPhase {
-  kIdle,       // no byte of a request yet
+  kIdle,       // no byte of the next request was read
   kHeader,     // reading the start line and header
   kBody,       // reading the body
-  kPending,    // the request is with the asker
-  kStreaming,  // the head of a chunked response has been given
-  kFinishing,  // the whole response has been given, not yet all written
-  kLingering,  // our side is shut down; what still arrives is discarded
+  kPending,    // the sink has the request, no response yet
+  kStreaming,  // the head of a streamed response is queued
+  kFinishing,  // the full response is queued, not yet all written
+  kLingering,  // sending is shut down; further input is discarded
 };
 
-// State of one connection; Server::Impl holds them and acts on them.
+// State of one connection, owned by Server::Impl.
 struct ServerConnection {
   using Parser =
       boost::beast::http::request_parser<boost::beast::http::string_body>;
@@ -42,20 +42,20 @@
   boost::asio::ip::tcp::socket socket;
   ServerPhase phase = ServerPhase::kIdle;
   std::optional<Parser> parser;
-  std::string unparsed;  // read, not yet taken by the parser
+  std::string unparsed;  // read from the socket, not yet parsed
   std::string out;       // response bytes; those before out_offset are written
   size_t out_offset = 0;
   ExchangeId exchange;
-  TimePoint deadline = kNever;  // what happens then depends on the phase
+  TimePoint deadline = kNever;  // of the current phase
   TimePoint received_at;
-  uint64_t held_body = 0;  // counted against max_total_body_bytes
+  uint64_t body_bytes = 0;  // counted against max_total_body_bytes
   unsigned version = 11;
   bool keep_alive = true;
   bool head_request = false;
   bool chunked = false;
   bool discard_input = false;
-  bool read_waiting = false;
-  bool write_waiting = false;
+  bool read_pending = false;
+  bool write_pending = false;
   bool read_closed = false;
 };
 
--- a/libs/http/src/server_impl.cc
+++ b/libs/http/src/server_impl.cc
@@ -19,23 +19,25 @@
 using boost::system::error_code;
 
 constexpr size_t kReadBytes = 64 << 10;
-// Deadlines are looked at this often; limits are in seconds, so this is exact
-// enough, and one timer serves all connections.
+// Interval of the one timer that checks the deadlines of all connections; exact
+// enough for limits in seconds.
 constexpr std::chrono::milliseconds kSweepInterval{50};
-// Connections over the limit that are being told so at one time.
-constexpr size_t kMaxRefusedConnections = 256;
-struct Refusal {
+// Maximum number of connections over the limit that are sent a 503 at one time;
+// further ones are closed without a response.
+constexpr size_t kMaxRejectedConnections = 256;
+
+struct Rejection {
   unsigned status;
   std::string_view code;
   std::string_view message;
 };
 
-Refusal RefusalOf(const error_code& ec) noexcept {
+Rejection RejectionFor(const error_code& ec) noexcept {
   if (ec == beast_http::error::header_limit) {
-    return {431, "headers_too_large", "the request's header is too large"};
+    return {431, "headers_too_large", "the request header is too large"};
   }
   if (ec == beast_http::error::body_limit) {
-    return {413, "body_too_large", "the request's body is too large"};
+    return {413, "body_too_large", "the request body is too large"};
   }
   return {400, "bad_request", "the request is not valid HTTP"};
 }
@@ -65,7 +67,9 @@
 
 Result<uint16_t> Server::Impl::Listen(const std::string& address) {
   const auto endpoint = ParseEndpoint(address);
-  if (!endpoint) return Fail(ErrorCode::kInvalid, "not IP:PORT: " + address);
+  if (!endpoint)
+    return Fail(ErrorCode::kInvalid,
+                "the address is not of the form IP:PORT: " + address);
   error_code ec;
   acceptor_.open(endpoint->protocol(), ec);
   if (!ec) acceptor_.set_option(asio::socket_base::reuse_address(true), ec);
@@ -85,15 +89,15 @@
       [weak = std::weak_ptr<Impl*>(self_)](const error_code& ec) {
         const auto self = weak.lock();
         if (!self || ec) return;
-        (*self)->AcceptWaiting();
+        (*self)->AcceptPending();
         if (!(*self)->accept_failed_) (*self)->Accept();
       });
 }
 
-// Failure guarded against: with no file descriptor left, the listening socket
-// stays readable and accepting in a loop would use a whole core. The next sweep
-// tries again.
-void Server::Impl::AcceptWaiting() {
+// Guards against a busy loop when file descriptors run out: the listening
+// socket then stays readable, and accepting in a loop would use a full core.
+// The next sweep retries.
+void Server::Impl::AcceptPending() {
   while (acceptor_.is_open()) {
     error_code ec;
     asio::ip::tcp::socket socket(io_);
@@ -106,13 +110,14 @@
       ArmSweep();
       return;
     }
-    Admit(std::move(socket));
+    AddConnection(std::move(socket));
   }
 }
 
-void Server::Impl::Admit(asio::ip::tcp::socket&& socket) {
-  const size_t held = connections_.size();
-  if (held >= settings_.max_connections + kMaxRefusedConnections) return;
+void Server::Impl::AddConnection(asio::ip::tcp::socket&& socket) {
+  const size_t connection_count = connections_.size();
+  if (connection_count >= settings_.max_connections + kMaxRejectedConnections)
+    return;
   error_code ec;
   socket.non_blocking(true, ec);
   socket.set_option(asio::ip::tcp::no_delay(true), ec);
@@ -124,55 +129,58 @@
            .first->second;
   connection.deadline = MonotonicNow() + settings_.idle_timeout;
   ArmSweep();
-  if (held >= settings_.max_connections) {
-    Refuse(connection, 503, "too_many_connections",
-           "the server holds as many connections as it may");
+  if (connection_count >= settings_.max_connections) {
+    Reject(connection, 503, "too_many_connections",
+           "the server has reached its connection limit");
   }
   WaitReadable(connection);
 }
 
 void Server::Impl::WaitReadable(Connection& connection) {
-  const bool ahead = connection.phase >= ServerPhase::kPending &&
-                     connection.unparsed.size() > settings_.max_header_bytes;
-  if (connection.read_waiting || connection.read_closed || ahead) return;
-  connection.read_waiting = true;
+  const bool pipelined_too_far =
+      connection.phase >= ServerPhase::kPending &&
+      connection.unparsed.size() > settings_.max_header_bytes;
+  if (connection.read_pending || connection.read_closed || pipelined_too_far)
+    return;
+  connection.read_pending = true;
   connection.socket.async_wait(asio::socket_base::wait_read,
-                               Later(connection.id, &Impl::OnReadable));
+                               MakeHandler(connection.id, &Impl::OnReadable));
 }
 
 void Server::Impl::WaitWritable(Connection& connection) {
-  if (connection.write_waiting) return;
-  connection.write_waiting = true;
+  if (connection.write_pending) return;
+  connection.write_pending = true;
   connection.socket.async_wait(asio::socket_base::wait_write,
-                               Later(connection.id, &Impl::OnWritable));
+                               MakeHandler(connection.id, &Impl::OnWritable));
 }
 
 void Server::Impl::OnReadable(Connection& connection) {
-  connection.read_waiting = false;
+  connection.read_pending = false;
   const ServerConnectionId id = connection.id;
   error_code ec;
   const size_t count = connection.socket.read_some(asio::buffer(scratch_), ec);
   if (ec && ec != asio::error::would_block) {
-    if (ec != asio::error::eof) return PeerGone(connection);
-    return OnEnd(connection);
+    if (ec != asio::error::eof) return CloseDisconnected(connection);
+    return OnEof(connection);
   }
   if (!connection.discard_input) {
     connection.unparsed.append(scratch_, 0, count);
     Parse(connection);
   }
-  if (Connection* still = Find(id)) WaitReadable(*still);
+  if (Connection* current = Find(id)) WaitReadable(*current);
 }
 
 void Server::Impl::OnWritable(Connection& connection) {
-  connection.write_waiting = false;
+  connection.write_pending = false;
   Flush(connection);
 }
 
-// The caller has shut down its sending side. One that waits for its answer is
-// taken to have gone, since nothing tells the two apart; an answer already
-// given is written as far as it is taken.
-void Server::Impl::OnEnd(Connection& connection) {
-  if (connection.phase != ServerPhase::kFinishing) return PeerGone(connection);
+// The caller has shut down its sending side. While its request is unanswered,
+// it counts as disconnected, since a half-close looks the same; a response that
+// is already queued is written as far as the caller reads it.
+void Server::Impl::OnEof(Connection& connection) {
+  if (connection.phase != ServerPhase::kFinishing)
+    return CloseDisconnected(connection);
   connection.read_closed = true;
   connection.keep_alive = false;
 }
@@ -181,7 +189,7 @@
   while (connection.phase <= ServerPhase::kBody &&
          !connection.unparsed.empty()) {
     if (connection.phase == ServerPhase::kIdle) BeginRequest(connection);
-    if (!ParseSome(connection)) return;
+    if (!ParseBuffered(connection)) return;
   }
 }
 
@@ -195,25 +203,25 @@
   connection.deadline = connection.received_at + settings_.header_timeout;
 }
 
-bool Server::Impl::ParseSome(Connection& connection) {
+bool Server::Impl::ParseBuffered(Connection& connection) {
   auto& parser = *connection.parser;
   error_code ec;
   const size_t used = parser.put(asio::buffer(connection.unparsed), ec);
   connection.unparsed.erase(0, used);
   if (ec && ec != beast_http::error::need_more) {
-    const Refusal refusal = RefusalOf(ec);
-    Refuse(connection, refusal.status, refusal.code, refusal.message);
+    const Rejection rejection = RejectionFor(ec);
+    Reject(connection, rejection.status, rejection.code, rejection.message);
     return false;
   }
   if (connection.phase == ServerPhase::kHeader && parser.is_header_done()) {
     OnHeaderRead(connection);
   }
-  const uint64_t held = parser.get().body().size();
-  total_body_ += held - connection.held_body;
-  connection.held_body = held;
-  if (total_body_ > settings_.max_total_body_bytes) {
-    Refuse(connection, 503, "overloaded",
-           "the server holds as many request bytes as it may");
+  const uint64_t body_bytes = parser.get().body().size();
+  total_body_bytes_ += body_bytes - connection.body_bytes;
+  connection.body_bytes = body_bytes;
+  if (total_body_bytes_ > settings_.max_total_body_bytes) {
+    Reject(connection, 503, "overloaded",
+           "the server has reached its limit for buffered request bodies");
     return false;
   }
   if (parser.is_done()) {
@@ -261,29 +269,29 @@
       .exchange = exchange,
       .status = 503,
       .headers = std::move(headers),
-      .body = RefusalBody("overloaded_error", "overloaded",
-                          "the server has too much work; try again later")});
+      .body = ErrorBody("overloaded_error", "overloaded",
+                        "the server is overloaded; try again later")});
 }
 
-void Server::Impl::Expire(Connection& connection) {
+void Server::Impl::OnDeadline(Connection& connection) {
   switch (connection.phase) {
     case ServerPhase::kHeader:
     case ServerPhase::kBody:
-      return Refuse(connection, 408, "request_timeout",
-                    "the request took too long to arrive");
+      return Reject(connection, 408, "request_timeout",
+                    "the request was not received in time");
     case ServerPhase::kIdle:
     case ServerPhase::kLingering:
     case ServerPhase::kPending:
     case ServerPhase::kStreaming:
     case ServerPhase::kFinishing:
-      return PeerGone(connection);
+      return CloseDisconnected(connection);
   }
 }
 
-void Server::Impl::PeerGone(Connection& connection) {
-  const bool unanswered = connection.phase == ServerPhase::kPending ||
-                          connection.phase == ServerPhase::kStreaming;
-  if (unanswered) disconnects_.push_back(connection.exchange);
+void Server::Impl::CloseDisconnected(Connection& connection) {
+  const bool response_open = connection.phase == ServerPhase::kPending ||
+                             connection.phase == ServerPhase::kStreaming;
+  if (response_open) disconnects_.push_back(connection.exchange);
   Erase(connection);
   DeliverDisconnects();
 }
@@ -295,17 +303,18 @@
 }
 
 void Server::Impl::ReleaseBody(Connection& connection) {
-  total_body_ -= std::exchange(connection.held_body, 0);
+  total_body_bytes_ -= std::exchange(connection.body_bytes, 0);
 }
 
-// Failure guarded against: a full ring behind the sink would lose the news, and
-// the work for a caller who has gone would go on. The sweep offers it again.
+// Guards against lost disconnect events when the queue behind the sink is full:
+// the work for a caller that has disconnected would go on. The sweep retries.
 void Server::Impl::DeliverDisconnects() {
-  std::vector<ExchangeId> left = std::exchange(disconnects_, {});
-  std::erase_if(left, [this](ExchangeId exchange) {
+  std::vector<ExchangeId> undelivered = std::exchange(disconnects_, {});
+  std::erase_if(undelivered, [this](ExchangeId exchange) {
     return sink_(DisconnectEvent{exchange});
   });
-  disconnects_.insert(disconnects_.end(), left.begin(), left.end());
+  disconnects_.insert(disconnects_.end(), undelivered.begin(),
+                      undelivered.end());
   if (!disconnects_.empty()) ArmSweep();
 }
 
@@ -328,7 +337,7 @@
     if (connection->deadline <= now) expired.push_back(id);
   }
   for (const ServerConnectionId id : expired) {
-    if (Connection* connection = Find(id)) Expire(*connection);
+    if (Connection* connection = Find(id)) OnDeadline(*connection);
   }
   DeliverDisconnects();
   if (std::exchange(accept_failed_, false) && acceptor_.is_open()) Accept();
@@ -346,8 +355,9 @@
 
 void Server::Impl::StopAccepting() {
   if (stopping_) return;
-  // Connections that the kernel has already accepted would be reset.
-  AcceptWaiting();
+  // Closing the listener resets connections that the kernel has completed but
+  // that were not accepted, so they are accepted first.
+  AcceptPending();
   draining_ = true;
   stopping_ = true;
   error_code ec;
@@ -369,7 +379,7 @@
   connections_.clear();
   exchanges_.clear();
   disconnects_.clear();
-  total_body_ = 0;
+  total_body_bytes_ = 0;
 }
 
 }  // namespace knapweedstile::http
--- a/libs/http/src/server_impl.h
+++ b/libs/http/src/server_impl.h
@@ -13,9 +13,9 @@
 
 namespace knapweedstile::http {
 
-// Holds the connections. Sockets are non-blocking and are waited for with
+// Owns the connections. Sockets are non-blocking and only waited for with
 // async_wait, so no pending operation refers to a connection's memory: a
-// connection may be erased at any time, and an idle one holds no buffer.
+// connection may be erased at any time, and an idle one needs no buffer.
 //
 // The sink may call Execute() or Close() from inside an event, so every method
 // looks its connection up again by id after calling the sink.
@@ -42,23 +42,24 @@
 
   Connection* Find(ServerConnectionId id) noexcept;
   Connection* FindExchange(ExchangeId exchange) noexcept;
-  // A handler that runs `member` on the connection if it still exists.
-  auto Later(ServerConnectionId id, Member member);
+  // Returns a completion handler that calls `member` on the connection if it
+  // still exists.
+  auto MakeHandler(ServerConnectionId id, Member member);
 
   void Accept();
-  void AcceptWaiting();
-  void Admit(boost::asio::ip::tcp::socket&& socket);
+  void AcceptPending();
+  void AddConnection(boost::asio::ip::tcp::socket&& socket);
 
   void WaitReadable(Connection& connection);
   void WaitWritable(Connection& connection);
   void OnReadable(Connection& connection);
   void OnWritable(Connection& connection);
-  void OnEnd(Connection& connection);
+  void OnEof(Connection& connection);
 
   void Parse(Connection& connection);
   void BeginRequest(Connection& connection);
-  // False when the request was refused or handed over.
-  bool ParseSome(Connection& connection);
+  // Returns false when the request was rejected or passed to the sink.
+  bool ParseBuffered(Connection& connection);
   void OnHeaderRead(Connection& connection);
   void Dispatch(Connection& connection);
 
@@ -67,13 +68,13 @@
   void Run(StreamChunkCommand&& command);
   void Run(AbortCommand&& command);
 
-  void Refuse(Connection& connection, unsigned status, std::string_view code,
+  void Reject(Connection& connection, unsigned status, std::string_view code,
               std::string_view message);
   void Flush(Connection& connection);
   void Finish(Connection& connection);
   void Linger(Connection& connection);
-  void Expire(Connection& connection);
-  void PeerGone(Connection& connection);
+  void OnDeadline(Connection& connection);
+  void CloseDisconnected(Connection& connection);
   void Erase(Connection& connection);
   void ReleaseBody(Connection& connection);
 
@@ -92,22 +93,22 @@
   bool stopping_ = false;
   uint64_t last_connection_ = 0;
   uint64_t last_exchange_;
-  uint64_t total_body_ = 0;
+  uint64_t total_body_bytes_ = 0;
   std::unordered_map<ServerConnectionId, std::unique_ptr<Connection>>
       connections_;
   std::unordered_map<ExchangeId, ServerConnectionId> exchanges_;
-  std::vector<ExchangeId> disconnects_;  // not yet taken by the sink
-  std::string scratch_;                  // what one read call returns
-  // Handlers hold it weakly and do nothing once the server is gone.
+  std::vector<ExchangeId> disconnects_;  // not yet accepted by the sink
+  std::string scratch_;                  // receive buffer of one read call
+  // Completion handlers hold a weak_ptr and do nothing after destruction.
   std::shared_ptr<Impl*> self_ = std::make_shared<Impl*>(this);
 };
 
-// After StopAccepting, how long an idle connection may still bring a request
-// that the caller had begun to send.
+// How long idle connections stay open after StopAccepting(), for requests that
+// callers have already begun to send.
 inline constexpr std::chrono::milliseconds kStopGrace{300};
 inline constexpr char kRetryAfterSeconds[] = "1";
 
-inline auto Server::Impl::Later(ServerConnectionId id, Member member) {
+inline auto Server::Impl::MakeHandler(ServerConnectionId id, Member member) {
   return [weak = std::weak_ptr<Impl*>(self_), id,
           member](const boost::system::error_code& ec = {}) {
     const auto self = weak.lock();
--- a/libs/http/src/server_responses.cc
+++ b/libs/http/src/server_responses.cc
@@ -6,17 +6,18 @@
 #include "message_text.h"
 #include "server_impl.h"
 
-// Responses on their way to callers.
+// The part of Server::Impl that writes responses.
 namespace knapweedstile::http {
 namespace {
 
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-// How long a connection that was answered before its request was read may go on
-// sending. Closing at once would make the kernel reset the connection, and the
-// caller would lose the answer that says why.
+// How long the input of a connection is discarded after its last response.
+// Closing at once while the caller still sends would make the kernel reset the
+// connection, and the caller would lose a response that explains the rejection.
 constexpr std::chrono::seconds kLingerTime{2};
+
 bool HasNoBody(unsigned status) noexcept {
   return status == 204 || status == 304;
 }
@@ -47,7 +48,7 @@
   Connection* connection = FindExchange(command.exchange);
   if (!connection || connection->phase != ServerPhase::kPending) return;
   connection->chunked = connection->version >= 11;
-  // An HTTP/1.0 caller sees the end of a stream only by the connection's end.
+  // HTTP/1.0 has no chunks: the end of the connection ends the stream.
   if (draining_ || !connection->chunked) connection->keep_alive = false;
   connection->out += ResponseHead(command.status, command.headers,
                                   {.version = connection->version,
@@ -57,9 +58,10 @@
   Flush(*connection);
 }
 
-// Failure guarded against: a caller that reads slower than its stream is made
-// would let memory grow. It shows as unsent bytes; beyond the limit the
-// connection is cut and the asker told, since a stream cannot be thinned.
+// Guards against unbounded memory when a caller reads its stream more slowly
+// than it is produced: beyond the limit of unsent bytes the connection is
+// closed and a DisconnectEvent delivered, since no part of a stream can be
+// dropped.
 void Server::Impl::Run(StreamChunkCommand&& command) {
   Connection* connection = FindExchange(command.exchange);
   if (!connection || connection->phase != ServerPhase::kStreaming) return;
@@ -81,7 +83,7 @@
   if (connection && connection->phase == ServerPhase::kStreaming &&
       connection->unsent() > settings_.max_unsent_bytes) {
     LogWarning("stream_reader_too_slow", {{"unsent", connection->unsent()}});
-    asio::post(io_, Later(id, &Impl::PeerGone));
+    asio::post(io_, MakeHandler(id, &Impl::CloseDisconnected));
   }
 }
 
@@ -91,13 +93,13 @@
   }
 }
 
-void Server::Impl::Refuse(Connection& connection, unsigned status,
+void Server::Impl::Reject(Connection& connection, unsigned status,
                           std::string_view code, std::string_view message) {
   const bool overload = status == 503;
   HeaderList headers;
   headers.Add("Content-Type", "application/json");
   if (overload) headers.Add("Retry-After", kRetryAfterSeconds);
-  const std::string body = RefusalBody(
+  const std::string body = ErrorBody(
       overload ? "overloaded_error" : "invalid_request_error", code, message);
   connection.out +=
       ResponseHead(
@@ -120,13 +122,14 @@
         asio::buffer(connection.out) + connection.out_offset, ec);
     if (!ec) continue;
     if (ec != asio::error::would_block) {
-      // Not at once: the asker may be in the middle of Execute().
-      asio::post(io_, Later(connection.id, &Impl::PeerGone));
+      // Deferred: Flush() may run inside Execute(), and the connection must not
+      // be erased there.
+      asio::post(io_, MakeHandler(connection.id, &Impl::CloseDisconnected));
       return;
     }
     connection.out.erase(0, std::exchange(connection.out_offset, 0));
     if (connection.phase >= ServerPhase::kStreaming &&
-        !connection.write_waiting) {
+        !connection.write_pending) {
       connection.deadline = MonotonicNow() + settings_.write_timeout;
     }
     WaitWritable(connection);
@@ -147,14 +150,14 @@
   connection.deadline = MonotonicNow() + (stopping_ ? Duration(kStopGrace)
                                                     : settings_.idle_timeout);
   if (!connection.unparsed.empty()) {
-    asio::post(io_, Later(connection.id, &Impl::Parse));
+    asio::post(io_, MakeHandler(connection.id, &Impl::Parse));
   }
   WaitReadable(connection);
 }
 
 void Server::Impl::Linger(Connection& connection) {
   if (connection.read_closed) {
-    asio::post(io_, Later(connection.id, &Impl::Erase));
+    asio::post(io_, MakeHandler(connection.id, &Impl::Erase));
     return;
   }
   error_code ec;
--- a/libs/http/tests/client_test.cc
+++ b/libs/http/tests/client_test.cc
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-TEST_CASE("a whole response arrives and its connection is used again") {
+TEST_CASE("a connection is reused after a complete response") {
   io_context io;
   TestServer server(io);
   server.on_request = [&](const RequestEvent& r) {
@@ -36,7 +36,7 @@
   REQUIRE(RunUntil(io, [&] { return server.server.open_connections() == 0; }));
 }
 
-TEST_CASE("a streamed response comes in pieces") {
+TEST_CASE("a streamed response is delivered chunk by chunk") {
   io_context io;
   TestServer server(io);
   TestClient client(io);
@@ -58,7 +58,7 @@
   CHECK(client.ends[0].outcome == ClientOutcome::kComplete);
 }
 
-TEST_CASE("a refused connection, a bad address and a bad target are not sent") {
+TEST_CASE("unreachable or invalid addresses and targets end as not sent") {
   io_context io;
   std::string closed_address;
   {
@@ -79,9 +79,10 @@
   }
 }
 
-TEST_CASE("a server cut before and within its answer leaves the request lost") {
-  // The backend server dies with the request in its hands: the request may have
-  // run, so it must not be called "not sent".
+TEST_CASE("a connection closed before the full response ends as lost") {
+  // Guards against running a request twice: the backend server terminates after
+  // it has received the request, which may have run, so the outcome must not be
+  // kNotSent.
   io_context io;
   TestServer server(io);
   TestClient client(io);
@@ -104,7 +105,7 @@
   CHECK(client.ends[1].body.empty());
 }
 
-TEST_CASE("a deadline after sending is told as such") {
+TEST_CASE("a deadline that passes after sending ends as kDeadline") {
   io_context io;
   TestServer server(io);
   TestClient client(io);
@@ -116,7 +117,7 @@
   REQUIRE(RunUntil(io, [&] { return server.disconnects.size() == 1; }));
 }
 
-TEST_CASE("a cancelled exchange is cut and gives no event") {
+TEST_CASE("a cancelled exchange closes its connection without an event") {
   io_context io;
   TestServer server(io);
   TestClient client(io);
@@ -127,7 +128,7 @@
   CHECK(client.ends.empty());
 }
 
-TEST_CASE("a pooled connection that the server closed is not used again") {
+TEST_CASE("a pooled connection that the server closed is not reused") {
   io_context io;
   auto first = std::make_unique<TestServer>(io);
   first->on_request = [&](const RequestEvent& r) {
@@ -138,15 +139,16 @@
   REQUIRE(RunUntil(io, [&] { return client.ends.size() == 1; }));
   const std::string address = first->address;
   first.reset();
-  // Without running the client, so that only the check at Send can see it.
+  // The io_context does not run in between, so only Send() can detect the
+  // close.
   client.client.Send(RequestTo(address, 2));
   REQUIRE(RunUntil(io, [&] { return client.ends.size() == 2; }));
   CHECK(client.ends[1].outcome == ClientOutcome::kNotSent);
 }
 
-TEST_CASE("an early answer to a request that is still being sent arrives") {
-  // The server refuses a large body from its header alone (413) and reads no
-  // further; the caller must see why instead of a broken connection.
+TEST_CASE("a response that arrives while the request is sent is delivered") {
+  // Guards against hiding a 413: the server rejects a large body by its header
+  // and stops reading. The caller must get this response and not a write error.
   io_context io;
   ServerSettings settings;
   settings.max_body_bytes = 1000;
@@ -161,7 +163,7 @@
   CHECK(client.ends[0].status == 413);
 }
 
-TEST_CASE("HEAD and bodiless responses keep the connection in step") {
+TEST_CASE("a connection is reused after responses without a body") {
   io_context io;
   TestServer server(io);
   server.on_request = [&](const RequestEvent& r) {
--- a/libs/http/tests/loopback.h
+++ b/libs/http/tests/loopback.h
@@ -14,13 +14,13 @@
 
 namespace knapweedstile::http {
 
-// Far beyond what any step needs; a test ends here only when it has failed.
-constexpr std::chrono::seconds kTestLimit{30};
+// Far longer than any step takes, so only failing tests reach it.
+constexpr std::chrono::seconds kStepTimeout{30};
 
-// Runs `io` until `done` or the limit; false at the limit.
+// Runs `io` until `done` returns true; false after kStepTimeout.
 inline bool RunUntil(boost::asio::io_context& io,
                      const std::function<bool()>& done) {
-  const TimePoint limit = MonotonicNow() + kTestLimit;
+  const TimePoint limit = MonotonicNow() + kStepTimeout;
   while (!done()) {
     if (MonotonicNow() > limit) return false;
     io.restart();
@@ -29,11 +29,11 @@
   return true;
 }
 
-// A server whose events are kept, with an optional handler.
+// A server that records its events, with an optional request handler.
 struct TestServer {
   explicit TestServer(boost::asio::io_context& io, ServerSettings settings = {})
       : server(io, settings, [this](ServerEvent&& event) {
-          if (refuse) return false;
+          if (reject_events) return false;
           if (auto* request = std::get_if<RequestEvent>(&event)) {
             requests.push_back(*request);
             if (on_request) on_request(*request);
@@ -53,7 +53,7 @@
   }
 
   Server server;
-  bool refuse = false;
+  bool reject_events = false;
   std::function<void(const RequestEvent&)> on_request;
   std::vector<RequestEvent> requests;
   std::vector<ExchangeId> disconnects;
@@ -61,7 +61,7 @@
   std::string address;
 };
 
-// A client whose events are kept.
+// A client that records its events.
 struct TestClient {
   explicit TestClient(boost::asio::io_context& io, ClientSettings settings = {})
       : client(io, settings, [this](ClientEvent&& event) {
@@ -80,7 +80,7 @@
   std::vector<EndEvent> ends;
 };
 
-// A caller that sends what it likes, byte by byte.
+// A caller over a plain socket, for malformed, partial and pipelined requests.
 class RawCaller {
  public:
   RawCaller(boost::asio::io_context& io, uint16_t port) : socket_(io) {
@@ -88,14 +88,14 @@
     socket_.non_blocking(true);
   }
 
-  // Sends as much as the kernel takes; false once the connection is broken.
+  // Sends as much as the kernel accepts; false once the connection has failed.
   bool Send(std::string_view text) {
     boost::system::error_code ec;
     socket_.write_some(boost::asio::buffer(text.data(), text.size()), ec);
     return !ec || ec == boost::asio::error::would_block;
   }
 
-  // Reads what is there.
+  // Reads all bytes that have arrived.
   void Poll() {
     boost::system::error_code ec;
     std::string buffer(64 << 10, '\0');
@@ -106,11 +106,13 @@
     if (ec != boost::asio::error::would_block) ended = true;
   }
 
+  // Whether the server has closed the connection.
   bool Ended() {
     Poll();
     return ended;
   }
-  bool Got(std::string_view text) {
+  // Whether the bytes received so far contain `text`.
+  bool Received(std::string_view text) {
     Poll();
     return received.find(text) != std::string::npos;
   }
--- a/libs/http/tests/server_test.cc
+++ b/libs/http/tests/server_test.cc
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-TEST_CASE("a whole request is answered and the connection is kept") {
+TEST_CASE("a connection is kept open after a complete exchange") {
   io_context io;
   TestServer server(io);
   server.on_request = [&](const RequestEvent& r) {
@@ -20,19 +20,19 @@
   };
   RawCaller caller(io, server.port);
   caller.Send(kGet);
-  REQUIRE(RunUntil(io, [&] { return caller.Got("GET/a?b=c"); }));
-  CHECK(caller.Got("HTTP/1.1 200 OK\r\n"));
-  CHECK(caller.Got("Content-Length: 9\r\n"));
+  REQUIRE(RunUntil(io, [&] { return caller.Received("GET/a?b=c"); }));
+  CHECK(caller.Received("HTTP/1.1 200 OK\r\n"));
+  CHECK(caller.Received("Content-Length: 9\r\n"));
   CHECK(server.requests[0].headers.Find("x-kEY") == "v");
   caller.Send("POST /p HTTP/1.1\r\nContent-Length: 4\r\n\r\nab");
   REQUIRE(RunUntil(io, [&] { return server.server.open_connections() == 1; }));
   caller.Send("cd");
-  REQUIRE(RunUntil(io, [&] { return caller.Got("POST/pabcd"); }));
+  REQUIRE(RunUntil(io, [&] { return caller.Received("POST/pabcd"); }));
   CHECK(server.server.open_exchanges() == 0);
   CHECK(server.server.open_connections() == 1);
 }
 
-TEST_CASE("a streamed response is chunked and ends") {
+TEST_CASE("a streamed response uses chunked encoding") {
   io_context io;
   TestServer server(io);
   RawCaller caller(io, server.port);
@@ -46,18 +46,20 @@
       BeginStreamCommand{.exchange = exchange, .headers = headers});
   server.server.Execute(
       StreamChunkCommand{.exchange = exchange, .data = "data: 1\n\n"});
-  REQUIRE(RunUntil(io, [&] { return caller.Got("9\r\ndata: 1\n\n\r\n"); }));
-  CHECK(caller.Got("Transfer-Encoding: chunked"));
-  CHECK_FALSE(caller.Got("X-Injected"));
+  REQUIRE(
+      RunUntil(io, [&] { return caller.Received("9\r\ndata: 1\n\n\r\n"); }));
+  CHECK(caller.Received("Transfer-Encoding: chunked"));
+  CHECK_FALSE(caller.Received("X-Injected"));
   CHECK(server.server.open_exchanges() == 1);
   server.server.Execute(StreamChunkCommand{.exchange = exchange, .last = true});
-  REQUIRE(RunUntil(io, [&] { return caller.Got("0\r\n\r\n"); }));
+  REQUIRE(RunUntil(io, [&] { return caller.Received("0\r\n\r\n"); }));
   CHECK(server.server.open_exchanges() == 0);
 }
 
-TEST_CASE("a caller that leaves is told, while pending and while streaming") {
-  // The owner closes the page while the answer is being made; without the news
-  // the engine would go on for nobody.
+TEST_CASE(
+    "a caller's disconnect causes an event before and during a response") {
+  // Guards against wasted work: the caller disconnects while its response is
+  // being generated, and without the event the engine would continue.
   io_context io;
   TestServer server(io);
   RawCaller pending(io, server.port);
@@ -72,24 +74,24 @@
   streaming.Close();
   REQUIRE(RunUntil(io, [&] { return server.disconnects.size() == 2; }));
   CHECK(server.server.open_exchanges() == 0);
-  // A response that comes late touches nothing.
+  // A late response has no effect.
   server.Respond(server.requests[0].exchange, "late");
 }
 
-TEST_CASE("the news of a disconnect is offered until the sink takes it") {
+TEST_CASE("a disconnect event is delivered again until the sink accepts it") {
   io_context io;
   TestServer server(io);
   RawCaller caller(io, server.port);
   caller.Send(kGet);
   REQUIRE(RunUntil(io, [&] { return server.requests.size() == 1; }));
-  server.refuse = true;
+  server.reject_events = true;
   caller.Close();
   REQUIRE(RunUntil(io, [&] { return server.server.open_connections() == 0; }));
-  server.refuse = false;
+  server.reject_events = false;
   REQUIRE(RunUntil(io, [&] { return server.disconnects.size() == 1; }));
 }
 
-TEST_CASE("a slow sender gets 408, in the header and in the body") {
+TEST_CASE("a header or body that arrives too slowly gets 408") {
   io_context io;
   ServerSettings settings;
   settings.header_timeout = settings.body_timeout = milliseconds(100);
@@ -99,39 +101,40 @@
   header.Send("GET / HT");
   body.Send("POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nab");
   REQUIRE(RunUntil(io, [&] { return header.Ended() && body.Ended(); }));
-  CHECK(header.Got("408"));
-  CHECK(body.Got("request_timeout"));
+  CHECK(header.Received("408"));
+  CHECK(body.Received("request_timeout"));
   CHECK(server.requests.empty());
 }
 
-TEST_CASE("a header flood gets 431, a large body 413, a broken request 400") {
+TEST_CASE("large headers get 431, large bodies 413, malformed requests 400") {
   io_context io;
   ServerSettings settings;
   settings.max_header_bytes = 1000;
   settings.max_body_bytes = 1000;
   TestServer server(io, settings);
-  RawCaller flood(io, server.port);
-  RawCaller announced(io, server.port);
+  RawCaller large_header(io, server.port);
+  RawCaller declared_length(io, server.port);
   RawCaller chunked(io, server.port);
-  RawCaller broken(io, server.port);
-  flood.Send("GET / HTTP/1.1\r\nX: " + std::string(5000, 'a'));
-  announced.Send("POST / HTTP/1.1\r\nContent-Length: 1001\r\n\r\n");
+  RawCaller malformed(io, server.port);
+  large_header.Send("GET / HTTP/1.1\r\nX: " + std::string(5000, 'a'));
+  declared_length.Send("POST / HTTP/1.1\r\nContent-Length: 1001\r\n\r\n");
   chunked.Send("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n7d0\r\n" +
                std::string(2000, 'a'));
-  broken.Send("what is this\r\n\r\n");
+  malformed.Send("what is this\r\n\r\n");
   REQUIRE(RunUntil(io, [&] {
-    return flood.Ended() && announced.Ended() && chunked.Ended() &&
-           broken.Ended();
+    return large_header.Ended() && declared_length.Ended() && chunked.Ended() &&
+           malformed.Ended();
   }));
-  CHECK(flood.Got("431"));
-  CHECK(announced.Got("413"));
-  CHECK(chunked.Got("413"));
-  CHECK(broken.Got("400"));
-  CHECK(broken.Got(R"("type":"invalid_request_error","code":"bad_request")"));
+  CHECK(large_header.Received("431"));
+  CHECK(declared_length.Received("413"));
+  CHECK(chunked.Received("413"));
+  CHECK(malformed.Received("400"));
+  CHECK(malformed.Received(
+      R"("type":"invalid_request_error","code":"bad_request")"));
   CHECK(server.requests.empty());
 }
 
-TEST_CASE("bodies held over all connections are bounded") {
+TEST_CASE("buffered bodies are bounded over all connections") {
   io_context io;
   ServerSettings settings;
   settings.max_total_body_bytes = 1500;
@@ -144,33 +147,34 @@
   RawCaller second(io, server.port);
   second.Send(post);
   REQUIRE(RunUntil(io, [&] { return second.Ended(); }));
-  CHECK(second.Got("503"));
-  CHECK(second.Got("Retry-After"));
+  CHECK(second.Received("503"));
+  CHECK(second.Received("Retry-After"));
   server.Respond(server.requests[0].exchange, "done");
   RawCaller third(io, server.port);
   third.Send(post);
   REQUIRE(RunUntil(io, [&] { return server.requests.size() == 2; }));
 }
 
-TEST_CASE("a sink that is full and a connection too many get 503") {
+TEST_CASE("a full sink and an excess connection get 503") {
   io_context io;
   ServerSettings settings;
   settings.max_connections = 1;
   TestServer server(io, settings);
-  server.refuse = true;
+  server.reject_events = true;
   RawCaller caller(io, server.port);
   caller.Send(kGet);
-  REQUIRE(RunUntil(io, [&] { return caller.Got("\"not_run\":true"); }));
-  CHECK(caller.Got("503"));
-  CHECK(caller.Got("Retry-After: 1"));
+  REQUIRE(RunUntil(io, [&] { return caller.Received("\"not_run\":true"); }));
+  CHECK(caller.Received("503"));
+  CHECK(caller.Received("Retry-After: 1"));
   RawCaller second(io, server.port);
   REQUIRE(RunUntil(io, [&] { return second.Ended(); }));
-  CHECK(second.Got("too_many_connections"));
+  CHECK(second.Received("too_many_connections"));
 }
 
-TEST_CASE("a reader that takes nothing is cut and the asker told") {
-  // A caller opens a stream and stops reading; its window fills, and what the
-  // engine makes would pile up in the server.
+TEST_CASE("a stream that is not read is closed with a disconnect event") {
+  // Guards against unbounded memory: a caller opens a stream and stops reading;
+  // its TCP window fills, and the engine's output would accumulate in the
+  // server.
   io_context io;
   ServerSettings settings;
   settings.max_unsent_bytes = 1 << 20;
@@ -190,7 +194,7 @@
   CHECK(server.server.open_connections() == 0);
 }
 
-TEST_CASE("a reader that stops is cut at the write timeout") {
+TEST_CASE("a caller that stops reading is disconnected at the write timeout") {
   io_context io;
   ServerSettings settings;
   settings.write_timeout = milliseconds(100);
@@ -202,7 +206,7 @@
   REQUIRE(RunUntil(io, [&] { return server.server.open_connections() == 0; }));
 }
 
-TEST_CASE("a half-open connection ends at the idle timeout") {
+TEST_CASE("a half-open connection is closed at the idle timeout") {
   io_context io;
   ServerSettings settings;
   settings.idle_timeout = milliseconds(100);
@@ -213,9 +217,9 @@
   CHECK(server.server.open_connections() == 0);
 }
 
-TEST_CASE("a graceful stop answers what is in flight and closes the rest") {
-  // SIGTERM during a restart: the request in flight and one that has just been
-  // sent on a kept connection must both be answered.
+TEST_CASE("a graceful stop completes exchanges in flight") {
+  // Guards against requests lost on SIGTERM: a request in flight and one that
+  // was just sent on an idle connection must both be answered.
   io_context io;
   TestServer server(io);
   RawCaller busy(io, server.port);
@@ -227,18 +231,18 @@
   REQUIRE(RunUntil(io, [&] { return server.requests.size() == 2; }));
   server.Respond(server.requests[1].exchange, "just in time");
   REQUIRE(RunUntil(io, [&] { return idle.Ended(); }));
-  CHECK(idle.Got("just in time"));
+  CHECK(idle.Received("just in time"));
   idle.Close();
   REQUIRE(RunUntil(io, [&] { return server.server.open_connections() == 1; }));
   server.Respond(server.requests[0].exchange, "answered");
   REQUIRE(RunUntil(io, [&] { return busy.Ended(); }));
-  CHECK(busy.Got("Connection: close"));
-  CHECK(busy.Got("answered"));
+  CHECK(busy.Received("Connection: close"));
+  CHECK(busy.Received("answered"));
   busy.Close();
   REQUIRE(RunUntil(io, [&] { return server.server.open_connections() == 0; }));
 }
 
-TEST_CASE("an aborted response is cut, never ended as if whole") {
+TEST_CASE("an aborted stream has no final chunk") {
   io_context io;
   TestServer server(io);
   RawCaller caller(io, server.port);
@@ -250,12 +254,12 @@
       StreamChunkCommand{.exchange = exchange, .data = "part"});
   server.server.Execute(AbortCommand{.exchange = exchange});
   REQUIRE(RunUntil(io, [&] { return caller.Ended(); }));
-  CHECK(caller.Got("part"));
-  CHECK_FALSE(caller.Got("0\r\n\r\n"));
+  CHECK(caller.Received("part"));
+  CHECK_FALSE(caller.Received("0\r\n\r\n"));
   CHECK(server.disconnects.empty());
 }
 
-TEST_CASE("an address that is in use or is none is an error value") {
+TEST_CASE("Listen fails for an address that is in use or invalid") {
   io_context io;
   TestServer server(io);
   Server second(io, {}, [](ServerEvent&&) { return true; });
@@ -264,19 +268,20 @@
   CHECK_FALSE(third.Listen("nowhere"));
 }
 
-TEST_CASE("a caller that waits for 100 Continue is told to go on") {
+TEST_CASE("a request with Expect: 100-continue gets 100 Continue") {
   io_context io;
   TestServer server(io);
   RawCaller caller(io, server.port);
   caller.Send(
       "POST / HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
-  REQUIRE(RunUntil(io, [&] { return caller.Got("100 Continue\r\n\r\n"); }));
+  REQUIRE(
+      RunUntil(io, [&] { return caller.Received("100 Continue\r\n\r\n"); }));
   caller.Send("ab");
   REQUIRE(RunUntil(io, [&] { return server.requests.size() == 1; }));
   CHECK(server.requests[0].body == "ab");
 }
 
-TEST_CASE("a second request that came along is answered after the first") {
+TEST_CASE("pipelined requests are answered in order") {
   io_context io;
   TestServer server(io);
   RawCaller caller(io, server.port);
@@ -284,13 +289,13 @@
   REQUIRE(RunUntil(io, [&] { return server.requests.size() == 1; }));
   server.Respond(server.requests[0].exchange, "one");
   REQUIRE(RunUntil(io, [&] { return server.requests.size() == 2; }));
-  CHECK(caller.Got("one"));
+  CHECK(caller.Received("one"));
   CHECK(server.requests[1].target == "/second");
   server.Respond(server.requests[1].exchange, "two");
-  REQUIRE(RunUntil(io, [&] { return caller.Got("two"); }));
+  REQUIRE(RunUntil(io, [&] { return caller.Received("two"); }));
 }
 
-TEST_CASE("an HTTP/1.0 caller sees a stream's end by the connection's end") {
+TEST_CASE("a stream to an HTTP/1.0 caller ends by closing the connection") {
   io_context io;
   TestServer server(io);
   RawCaller caller(io, server.port);
@@ -304,9 +309,10 @@
   CHECK(caller.received.ends_with("\r\n\r\ntext"));
 }
 
-TEST_CASE("the kernel's queue of connections is answered before a stop") {
-  // SIGTERM arrives between a caller's connect and the server's accept; closing
-  // the listener alone would reset a connection that the caller holds as made.
+TEST_CASE("connections in the accept queue are served before a stop") {
+  // Guards against a reset on SIGTERM between a caller's connect and the
+  // server's accept: closing the listener alone would reset a connection that
+  // is established for the caller.
   io_context io;
   TestServer server(io);
   RawCaller caller(io, server.port);
@@ -314,7 +320,7 @@
   server.server.StopAccepting();
   REQUIRE(RunUntil(io, [&] { return server.requests.size() == 1; }));
   server.Respond(server.requests[0].exchange, "answered");
-  REQUIRE(RunUntil(io, [&] { return caller.Got("answered"); }));
+  REQUIRE(RunUntil(io, [&] { return caller.Received("answered"); }));
 }
 
 }  // namespace knapweedstile::http
--- a/libs/observe/include/observe/metrics.h
+++ b/libs/observe/include/observe/metrics.h
@@ -12,11 +12,12 @@
 namespace knapweedstile::observe {
 
 // The metrics of one process, rendered in the Prometheus text format. Owned by
-// one thread. A family is named where it is first used; series are bounded.
+// one thread.
 //
-// Failure guarded against: label values that come from outside (workspaces,
-// targets) would let a caller grow memory and the monitors' storage. Beyond
-// kMaxSeries a family counts new label values under "other".
+// Guards against unbounded cardinality: label values that come from requests
+// (workspaces, targets) would let a caller grow memory and the storage of the
+// monitoring system. Once a family has kMaxSeries series, new label values are
+// counted under "other".
 class Metrics {
  public:
   static constexpr size_t kMaxSeries = 128;
@@ -26,8 +27,8 @@
   Metrics(const Metrics&) = delete;
   Metrics& operator=(const Metrics&) = delete;
 
-  // Declares a family: its help text and label names. Histograms count seconds
-  // in logarithmic buckets from 0.5 ms to 10 minutes.
+  // Declares a family with its help text and label names. Histograms observe
+  // seconds in logarithmic buckets from 0.5 ms to 10 minutes.
   void DeclareCounter(std::string name, std::string help,
                       std::vector<std::string> labels = {});
   void DeclareGauge(std::string name, std::string help,
@@ -35,13 +36,15 @@
   void DeclareHistogram(std::string name, std::string help,
                         std::vector<std::string> labels = {});
 
-  // A family that was not declared is a broken invariant.
+  // Abort the process unless the family was declared with the same type and
+  // number of labels.
   void Add(std::string_view name, const LabelValues& labels = {},
            uint64_t count = 1);
   void Set(std::string_view name, double value, const LabelValues& labels = {});
   void Observe(std::string_view name, double seconds,
                const LabelValues& labels = {});
 
+  // All families in the Prometheus text format.
   std::string Render() const;
 
  private:
--- a/libs/observe/include/observe/timeline.h
+++ b/libs/observe/include/observe/timeline.h
@@ -10,16 +10,18 @@
 
 namespace knapweedstile::observe {
 
-// The last events of one process, bounded: the oldest fall out. Owned by one
-// thread. Readers page through it by sequence and see gaps as skipped numbers.
+// A bounded buffer of the latest events of one process; the oldest are
+// discarded. Owned by one thread. Readers page through it by sequence number
+// and detect discarded events as gaps.
 class Timeline {
  public:
   explicit Timeline(size_t capacity) : capacity_(capacity) {}
 
-  // `event.sequence` is assigned here.
+  // Appends `event` and assigns its sequence number.
   void Record(TimelineEvent event);
 
-  // At most `limit` events with a sequence above `after`, as a JSON array.
+  // The first `limit` events with a sequence number above `after`, as a JSON
+  // array.
   std::string EventsJson(uint64_t after, size_t limit) const;
   uint64_t last_sequence() const noexcept { return last_sequence_; }
 
--- a/libs/observe/include/observe/timeline_event.h
+++ b/libs/observe/include/observe/timeline_event.h
@@ -8,13 +8,13 @@
 
 namespace knapweedstile::observe {
 
-// One thing that happened in one process, on that process's wall clock. The
-// request id (or JOB/INDEX of a batch item) is the same in every process, so
-// that a reader can join them.
+// One event in one process, timed by that process's wall clock. The request id
+// (or JOB/INDEX of a batch item) is the same in every process, so that readers
+// can join events.
 struct TimelineEvent {
   uint64_t sequence = 0;
-  int64_t wall_clock_nanos = 0;  // of its end, when it has a duration
-  int64_t duration_nanos = 0;    // zero: a point in time
+  int64_t wall_clock_nanos = 0;  // end of the event
+  int64_t duration_nanos = 0;    // zero: instantaneous
   std::string name;
   std::string request;
   std::vector<std::pair<std::string, std::string>> args;
--- a/libs/observe/src/metrics.cc
+++ b/libs/observe/src/metrics.cc
@@ -13,18 +13,18 @@
 
 namespace bh = boost::histogram;
 
-// Buckets: a factor of about 1.34 apart, so a quantile read from them is right
-// within a third; exact quantiles come from the load tool.
+// Bucket bounds grow by a factor of about 1.34, so quantiles computed from them
+// are accurate to within a third; the load tool measures exact ones.
 constexpr unsigned kBuckets = 48;
-constexpr double kLeastSeconds = 0.0005;
-constexpr double kMostSeconds = 600.0;
+constexpr double kMinSeconds = 0.0005;
+constexpr double kMaxSeconds = 600.0;
 
 using Axis = bh::axis::regular<double, bh::axis::transform::log>;
 using BucketCounts = decltype(bh::make_histogram(Axis(1, 1.0, 2.0)));
 
 struct HistogramSeries {
   BucketCounts buckets =
-      bh::make_histogram(Axis(kBuckets, kLeastSeconds, kMostSeconds));
+      bh::make_histogram(Axis(kBuckets, kMinSeconds, kMaxSeconds));
   double sum = 0;
   uint64_t count = 0;
 };
@@ -45,7 +45,7 @@
   return kNames[family.series.index()];
 }
 
-std::string Escaped(std::string_view value) {
+std::string EscapeLabelValue(std::string_view value) {
   std::string out;
   for (const char c : value) {
     if (c == '\n') {
@@ -58,13 +58,15 @@
   return out;
 }
 
-// `{a="x",b="y"}`, with `extra` as the last pair; empty when there is none.
-std::string LabelText(const Family& family, const LabelValues& values,
-                      std::string_view extra = "") {
+// Renders labels as `{a="x",b="y"}`, with `extra` as the last pair; empty when
+// there are no pairs.
+std::string RenderLabels(const Family& family, const LabelValues& values,
+                         std::string_view extra = "") {
   std::string text;
   for (size_t i = 0; i < family.labels.size(); ++i) {
     if (!text.empty()) text += ',';
-    text += fmt::format("{}=\"{}\"", family.labels[i], Escaped(values[i]));
+    text +=
+        fmt::format("{}=\"{}\"", family.labels[i], EscapeLabelValue(values[i]));
   }
   if (!extra.empty()) {
     if (!text.empty()) text += ',';
@@ -77,19 +79,20 @@
                   const Family& family, const LabelValues& labels,
                   const HistogramSeries& series) {
   auto to = std::back_inserter(out);
-  uint64_t below = static_cast<uint64_t>(series.buckets.at(-1));
+  uint64_t cumulative = static_cast<uint64_t>(series.buckets.at(-1));
   for (unsigned i = 0; i < kBuckets; ++i) {
-    below += static_cast<uint64_t>(series.buckets.at(static_cast<int>(i)));
+    cumulative += static_cast<uint64_t>(series.buckets.at(static_cast<int>(i)));
     const double upper = series.buckets.axis(0).value(i + 1);
     fmt::format_to(
         to, "{}_bucket{} {}\n", name,
-        LabelText(family, labels, fmt::format("le=\"{:.6g}\"", upper)), below);
+        RenderLabels(family, labels, fmt::format("le=\"{:.6g}\"", upper)),
+        cumulative);
   }
   fmt::format_to(to, "{}_bucket{} {}\n", name,
-                 LabelText(family, labels, "le=\"+Inf\""), series.count);
-  fmt::format_to(to, "{}_sum{} {}\n", name, LabelText(family, labels),
+                 RenderLabels(family, labels, "le=\"+Inf\""), series.count);
+  fmt::format_to(to, "{}_sum{} {}\n", name, RenderLabels(family, labels),
                  series.sum);
-  fmt::format_to(to, "{}_count{} {}\n", name, LabelText(family, labels),
+  fmt::format_to(to, "{}_count{} {}\n", name, RenderLabels(family, labels),
                  series.count);
 }
 
@@ -98,10 +101,11 @@
                   const Family& family, const LabelValues& labels,
                   Number value) {
   fmt::format_to(std::back_inserter(out), "{}{} {}\n", name,
-                 LabelText(family, labels), value);
+                 RenderLabels(family, labels), value);
 }
 
-[[noreturn]] void Undeclared() { std::abort(); }
+// A call that does not match the family's declaration is a bug.
+[[noreturn]] void AbortUndeclared() { std::abort(); }
 
 }  // namespace
 
@@ -118,10 +122,10 @@
   template <typename Series>
   Series& SeriesOf(std::string_view name, const LabelValues& labels) {
     const auto family = families_.find(name);
-    if (family == families_.end()) Undeclared();
+    if (family == families_.end()) AbortUndeclared();
     auto* series = std::get_if<SeriesMap<Series>>(&family->second.series);
     if (series == nullptr || labels.size() != family->second.labels.size()) {
-      Undeclared();
+      AbortUndeclared();
     }
     const auto found = series->find(labels);
     if (found != series->end()) return found->second;
--- a/libs/observe/tests/observe_test.cc
+++ b/libs/observe/tests/observe_test.cc
@@ -24,9 +24,10 @@
           std::string::npos);
 }
 
-// A caller sends a new workspace name with every request. Without the bound on
-// series each name would stay in memory and in the monitors for good.
-TEST_CASE("label values from outside cannot grow a family without bound") {
+// Guards against unbounded cardinality: a caller sends a new workspace name
+// with every request, and each name would stay in memory and in the monitoring
+// system.
+TEST_CASE("the number of series per family is bounded") {
   Metrics metrics;
   metrics.DeclareCounter("requests_total", "Requests.", {"workspace"});
   for (int i = 0; i < 1000; ++i) {
@@ -38,7 +39,7 @@
   REQUIRE(text.find("{workspace=\"other\"} 872\n") != std::string::npos);
 }
 
-TEST_CASE("the time line keeps the last events and pages by sequence") {
+TEST_CASE("the timeline keeps the latest events and pages by sequence") {
   Timeline timeline(3);
   for (int i = 0; i < 5; ++i) {
     timeline.Record({0, i, 0, "e" + std::to_string(i), "r", {{"k", "v"}}});
