--- a/libs/base/include/base/id.h
+++ b/libs/base/include/base/id.h
@@ -18,8 +18,8 @@
 
   constexpr uint64_t value() const noexcept { return value_; }
   constexpr explicit operator bool() const noexcept { return value_ != 0; }
-  // clang-tidy 14 mistakes the zero in a defaulted comparison for a null
-  // pointer. NOLINTNEXTLINE(modernize-use-nullptr)
+  // clang-tidy 14 takes the zero of a defaulted comparison for a null pointer.
+  // NOLINTNEXTLINE(modernize-use-nullptr)
   constexpr auto operator<=>(const Id&) const noexcept = default;
 
  private:
--- a/libs/http/include/http/client_request.h
+++ b/libs/http/include/http/client_request.h
@@ -18,8 +18,7 @@
   HeaderList headers;
   std::string body;
   TimePoint deadline = kNever;
-  // True: the response body arrives in BodyEvents; false: in EndEvent,
-  // complete.
+  // True: the response body arrives in BodyEvents; false: in the EndEvent.
   bool stream_body = false;
 };
 
--- a/libs/http/src/server_impl.cc
+++ b/libs/http/src/server_impl.cc
@@ -67,9 +67,7 @@
 
 Result<uint16_t> Server::Impl::Listen(const std::string& address) {
   const auto endpoint = ParseEndpoint(address);
-  if (!endpoint)
-    return Fail(ErrorCode::kInvalid,
-                "the address is not of the form IP:PORT: " + address);
+  if (!endpoint) return Fail(ErrorCode::kInvalid, "not IP:PORT: " + address);
   error_code ec;
   acceptor_.open(endpoint->protocol(), ec);
   if (!ec) acceptor_.set_option(asio::socket_base::reuse_address(true), ec);
--- a/libs/observe/src/metrics.cc
+++ b/libs/observe/src/metrics.cc
@@ -13,8 +13,8 @@
 
 namespace bh = boost::histogram;
 
-// Bucket bounds grow by a factor of about 1.34, so quantiles computed from them
-// are accurate to within a third; the load tool measures exact ones.
+// Bucket bounds are a factor of about 1.34 apart, so quantiles computed from
+// them are accurate to within a third; the load tool measures exact ones.
 constexpr unsigned kBuckets = 48;
 constexpr double kMinSeconds = 0.0005;
 constexpr double kMaxSeconds = 600.0;
