--- a/bench/slots_bench.cc
+++ b/bench/slots_bench.cc
@@ -1,6 +1,7 @@
-// Whom the slot board serves at worst load, against simpler rules: online
-// traffic in steps to the limit of the fleet beside an endless supply of batch
-// items, on a model of servers that admit in order of arrival.
+// Compares the slot scheduler with simpler scheduling rules at worst-case load:
+// online traffic in steps up to the capacity of the fleet beside an unlimited
+// supply of batch items, on a model of servers with first-come, first-served
+// admission.
 
 #include <fmt/core.h>
 
@@ -33,18 +34,18 @@
   return sum;
 }
 
-void Table(const char* title, const FleetModel::Settings& settings) {
-  const Rule rules[] = {
-      {"least used server, as seen", [](auto& s) { s.least_used_rule = true; }},
-      {"no slot kept for online",
-       [](auto& s) { s.scheduler.batch_reserve = 0; }},
-      {"free slot before an own item's",
-       [](auto& s) { s.scheduler.scarce_factor = 0; }},
-      {"items are not withdrawn from queues",
-       [](auto& s) { s.withdraw_seconds = 1e6; }},
-      {"the board as it stands", [](auto&) {}}};
+void PrintTable(const char* title, const FleetModel::Settings& settings) {
+  const Rule rules[] = {{"least used server in own view",
+                         [](auto& s) { s.least_used_rule = true; }},
+                        {"no slot reserved for online",
+                         [](auto& s) { s.scheduler.batch_reserve = 0; }},
+                        {"free slot before own preemption",
+                         [](auto& s) { s.scheduler.scarce_factor = 0; }},
+                        {"queued items are not withdrawn",
+                         [](auto& s) { s.withdraw_seconds = 1e6; }},
+                        {"slot scheduler, unmodified", [](auto&) {}}};
   fmt::print("{}\n{:<38} {:>7} {:>7} {:>8} {:>12} {:>10}\n", title, "rule",
-             "online", "late %", "refused", "batch slot-s", "wait ms");
+             "online", "late %", "rejected", "batch slot-s", "wait ms");
   for (const Rule& rule : rules) {
     const FleetModel::Outcome outcome = RunSeeds(rule, settings);
     fmt::print("{:<38} {:>7} {:>7.2f} {:>8} {:>12.0f} {:>10.1f}\n", rule.name,
@@ -60,14 +61,15 @@
 
 int main() {
   using knapweedstile::serving::FleetModel;
-  using knapweedstile::serving::Table;
-  Table("5 entries, 18 servers of 8 slots",
-        {.gateways = 5, .servers = 18, .valley_rate = 35, .peak_rate = 185});
-  Table("21 entries, 47 servers of 7 slots", {.gateways = 21,
-                                              .servers = 47,
-                                              .slots = 7,
-                                              .valley_rate = 95,
-                                              .peak_rate = 430,
-                                              .run_seconds = 15});
+  using knapweedstile::serving::PrintTable;
+  PrintTable(
+      "5 gateways, 18 servers of 8 slots",
+      {.gateways = 5, .servers = 18, .valley_rate = 35, .peak_rate = 185});
+  PrintTable("21 gateways, 47 servers of 7 slots", {.gateways = 21,
+                                                    .servers = 47,
+                                                    .slots = 7,
+                                                    .valley_rate = 95,
+                                                    .peak_rate = 430,
+                                                    .run_seconds = 15});
   return 0;
 }
