--- a/build.sh
+++ b/build.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The one entry point for people and CI: see README.md for the commands.
+# Entry point for developers and CI; README.md describes the commands.
 set -euo pipefail
 cd "$(dirname "${BASH_SOURCE[0]}")"
 . scripts/lib.sh
@@ -22,13 +22,13 @@
   build   build everything (or one target) into build/
   format  rewrite the sources in the project's format
   lint    check format and run the linter
-  unit    build and run the tests that need no processes
+  unit    build and run the tests that start no processes
   test    everything CI checks: format, build, all tests, lint
   demo    start a local fleet, compare two serving policies, print the result
-  soak    random faults against real gateways: --seeds A..B [--minutes M]
+  soak    inject random faults into real gateways: --seeds A..B [--minutes M]
           [--size small|few-dozen|limit] [--at-once N]
-  ablate  NAME FOLDER: the sources with one mechanism of the policy off
-  fleet   start a local fleet and keep it in the foreground until a signal
+  ablate  NAME FOLDER: copy the sources with one policy mechanism disabled
+  fleet   start a local fleet and run it in the foreground until a signal
 USAGE
     [ "${1:-help}" = help ] || exit 2
     ;;
--- a/cmake/packages.cmake
+++ b/cmake/packages.cmake
@@ -1,11 +1,12 @@
-# One package is libs/NAME with include/, src/ and tests/; src/ may have a folder
-# for each duty, and its files name each other from src/. A package's CMake
-# file names only what it depends on; sources and tests are found by pattern,
-# so that adding a file needs no edit here.
+# A package is libs/NAME with include/, src/ and tests/. src/ may have one level
+# of subfolders; includes are relative to src/. A package's CMakeLists.txt lists
+# only its dependencies: sources and tests are found by pattern, so that adding a
+# file needs no edit.
 
 add_library(knap_test_main STATIC ${CMAKE_SOURCE_DIR}/cmake/test_main.cc)
 
-# knap_library(NAME DEPS target...)
+# knap_library(NAME DEPS target...) builds the package and registers its tests;
+# a package without sources becomes an INTERFACE library.
 function(knap_library NAME)
   cmake_parse_arguments(ARG "" "" "DEPS" ${ARGN})
   file(GLOB sources CONFIGURE_DEPENDS src/*.cc src/*/*.cc)
@@ -29,7 +30,8 @@
   endif()
 endfunction()
 
-# knap_program(NAME DEPS target...) builds apps/NAME/*.cc.
+# knap_program(NAME DEPS target...) builds a program from apps/NAME/*.cc and
+# apps/NAME/src/*.cc.
 function(knap_program NAME)
   cmake_parse_arguments(ARG "" "" "DEPS" ${ARGN})
   file(GLOB sources CONFIGURE_DEPENDS *.cc src/*.cc)
--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""Copies the sources with one mechanism of the policy switched off, to be built
-and measured beside the whole.
+"""Copies the sources with one policy mechanism disabled, for an ablation study
+against the unmodified build.
 
-usage: scripts/ablate.py NAME FOLDER     the copy with NAME off
-       scripts/ablate.py                 the names
-The switches stand here and in no shipped setting. What each is worth:
-docs/decisions-under-load.md.
+usage: scripts/ablate.py NAME FOLDER     copy to FOLDER with NAME disabled
+       scripts/ablate.py                 list the names
+The switches exist only here, not as shipped settings. The effect of each
+mechanism is reported in docs/decisions-under-load.md.
 """
 
 import pathlib
@@ -18,14 +18,15 @@
 GATEWAY = "libs/gateway/src/"
 
 MECHANISMS = {
-    # Free slots are taken before those of own items, however few there are.
+    # Free slots are used before slots of this gateway's own batch items, however
+    # few are free.
     "scarce_slots": [(BOARD, "scarce_factor = 2.0;", "scarce_factor = 0;")],
     "batch_reserve": [(BOARD, "batch_reserve = 1;", "batch_reserve = 0;")],
     "own_zone": [(BOARD, "own_zone_factor = 1.5;", "own_zone_factor = 1.0;")],
-    # Requests queue at servers only behind nobody.
+    # A request is sent to a server only when no other request is queued there.
     "short_queue": [(BOARD, "queue_share_of_objective = 0.5;",
                      "queue_share_of_objective = 0.0;")],
-    # Turned away callers come back after the queue's time.
+    # Retry-After of rejected callers is the queue time alone.
     "return_time": [(GATEWAY + "online/online_calls.cc", "const Duration after = saturated",
                      "const Duration after = saturated && now == kNever")],
     "jobs_in_time_first": [("libs/serving/src/job_book.cc",
@@ -33,7 +34,7 @@
                             "return a.due_at < b.due_at;")],
     "withdraw_queued_items": [(GATEWAY + "batch/batch_runner.cc",
                                "  WithdrawQueued(now);\n", "")],
-    # No entry knows how far another one's items have come.
+    # Gateways do not share the progress of their batch items.
     "progress_notes": [(GATEWAY + "gateway_peers.cc",
                         "if (now - shared_progress_at_ < kProgressPause) return;",
                         "if (now > shared_progress_at_) return;")],
@@ -49,16 +50,16 @@
     "step_by_step_starts": [("libs/serving/src/slot_board_batch.cc",
                              "constexpr double kMostOfRoom = 0.5;",
                              "const double kMostOfRoom = 2.0 * static_cast<double>(all);")],
-    # Every entry tells all others each change of its slots.
+    # Every gateway reports each change of its slots to all others.
     "cells": [("libs/serving/src/cell_map.cc", "kMostInOneFleet = 32;",
                "kMostInOneFleet = 1000000;")],
-    # Requests wait where two have taken the last slot.
+    # No preemption of batch items: requests wait where two took the last slot.
     "give_way": [(GATEWAY + "gateway.cc", "  runner_.GiveWay(now);\n", "")],
-    # Each entry follows the store by itself.
+    # Each gateway watches the store by itself.
     "store_readers": [(GATEWAY + "gateway_peers.cc",
                        "const bool fed = !readers_.empty() && !IsReader()",
                        "const bool fed = now == kNever && !IsReader()")],
-    # Nothing is placed beyond the own cell while that has items to displace.
+    # Nothing is placed in another cell while the own cell has items to preempt.
     "beyond_the_cell": [(BOARD, "far_reserve = 1;", "far_reserve = 1000;")],
 }
 
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Starts a small local deployment, runs online traffic beside batch jobs,
-# relabels the engines from one serving policy to another while it runs, and
-# prints a comparison. Ends by itself in under two minutes.
+# relabels the engines from one serving policy to another, and prints
+# a comparison. Finishes in under two minutes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 BUILD_DIR=${BUILD_DIR:-build}
@@ -9,7 +9,7 @@
 trap stop_fleet EXIT
 TIMELINE=${TIMELINE:-demo.trace.json}
 
-echo "starting: a stand-in of the platform with three engines and a plain service, two gateways"
+echo "starting: a simulated platform with three engines and a plain service, two gateways"
 start_fleet
 wait_ready
 
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Starts a small local deployment and keeps it in the foreground until SIGTERM
-# or SIGINT. Prints one key=value line an address.
+# Starts a small local deployment and runs it in the foreground until SIGTERM
+# or SIGINT. Prints the addresses as key=value lines.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 BUILD_DIR=${BUILD_DIR:-build}
--- a/scripts/fleet_lib.sh
+++ b/scripts/fleet_lib.sh
@@ -1,8 +1,8 @@
-# Functions that start and end a small local deployment: the stand-in of the
-# users' platform with its backend servers, and gateways as on their VMs.
-# Sourced by scripts/fleet.sh and scripts/demo.sh.
+# Functions that start and stop a small local deployment: a simulation of the
+# users' platform with its backend servers, and gateways configured as on their
+# VMs. Sourced by scripts/fleet.sh and scripts/demo.sh.
 #
-# FLEET_DIR holds settings, outputs and logs of the processes; PIDS their ids.
+# FLEET_DIR holds the processes' settings and output; PIDS holds their ids.
 
 FLEET_DIR=${FLEET_DIR:-$(mktemp -d)}
 BIN=$BUILD_DIR/apps/knapweedstile/knapweedstile
@@ -11,8 +11,8 @@
 HOST_NAME=pets.example
 PIDS=()
 
-# start NAME COMMAND...: runs a process in the background; its output goes to
-# FLEET_DIR/NAME.out and NAME.err.
+# start NAME COMMAND...: runs a process in the background and redirects its
+# output to FLEET_DIR/NAME.out and NAME.err.
 start() {
   local name=$1
   shift
@@ -20,7 +20,8 @@
   PIDS+=($!)
 }
 
-# wait_line NAME KEY: the value of KEY= in the first line NAME printed.
+# wait_line NAME KEY: waits for the first output line of NAME that holds KEY= and
+# prints its value; fails after 100 polls (5 s).
 wait_line() {
   local name=$1 key=$2
   for _ in $(seq 1 100); do
@@ -35,7 +36,8 @@
   return 1
 }
 
-# start_gateway NAME ZONE NUMBER: listens on three ports from PORT_BASE on.
+# start_gateway NAME ZONE NUMBER: starts a gateway that listens on three ports
+# from PORT_BASE + 3 * NUMBER.
 start_gateway() {
   local name=$1 zone=$2 port=$((PORT_BASE + 3 * $3))
   cat >"$FLEET_DIR/$name.toml" <<TOML
@@ -72,7 +74,8 @@
   export KNAP_PLATFORM KNAP_ENTRIES KNAP_ADMINS KNAP_HOST
 }
 
-# wait_ready: until both gateways take callers.
+# wait_ready: waits until all gateways report readiness, for up to 200 polls
+# (10 s) each.
 wait_ready() {
   local admin
   for admin in "${ADMINS[@]}"; do
@@ -83,8 +86,8 @@
   done
 }
 
-# Ends what was started here, by id: SIGTERM, a wait, then SIGKILL for the rest.
-# Gateways first, then what they need.
+# Stops the processes started here, by id, in reverse order of their start:
+# gateways before the platform that they depend on.
 stop_fleet() {
   local i
   for ((i = ${#PIDS[@]} - 1; i >= 0; i--)); do
@@ -93,13 +96,13 @@
   PIDS=()
 }
 
-# end_process PID: SIGTERM, up to 5 s, then SIGKILL.
+# end_process PID: sends SIGTERM, waits up to 5 s, then sends SIGKILL.
 end_process() {
   kill -TERM "$1" 2>/dev/null || return 0
   for _ in $(seq 1 100); do
     kill -0 "$1" 2>/dev/null || return 0
     sleep 0.05
   done
-  echo "process $1 did not end; killed" >&2
+  echo "process $1 did not exit within 5 s; sending SIGKILL" >&2
   kill -KILL "$1" 2>/dev/null || true
 }
--- a/scripts/guards_off.py
+++ b/scripts/guards_off.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
-"""Shows that the soak's checks bite: builds the node with one guard off at a
-time, in a scratch copy, and runs the soak until it reports a broken promise.
+"""Mutation test of the soak: for each guard, builds the node in a scratch copy
+with that guard disabled and checks that the soak reports a violated guarantee.
 
 usage: scripts/guards_off.py BUILD_DIR [NAME...]
-Prints one line a guard: the promise that was reported, or NOT CAUGHT.
+Prints one line per guard: the guarantees reported as violated, or NOT CAUGHT.
 """
 
 import os
@@ -19,7 +19,7 @@
 JOBS = 6
 
 GATEWAY = "libs/gateway/src/"
-# name -> edits as (file, text, replacement); each text stands there once.
+# name -> edits as (file, text, replacement); each text occurs exactly once.
 GUARDS = {
     "at_most_once": [
         (GATEWAY + "online/online_answers.cc",
@@ -141,12 +141,12 @@
         path = copy / file
         source = path.read_text()
         if source.count(text) != 1:
-            sys.exit(f"{file} holds {source.count(text)} times: {text}")
+            sys.exit(f"{file}: expected 1 occurrence, found {source.count(text)}: {text}")
         path.write_text(source.replace(text, replacement))
 
 
 def build(copy):
-    # Copies differ in their folder only: what is unchanged comes from the cache.
+    # Copies differ only in their folder, so unchanged files come from the cache.
     environment = dict(os.environ, CCACHE_BASEDIR=str(copy), CCACHE_NOHASHDIR="1")
     for command in (["cmake", "-S", str(copy), "-B", str(copy / "out"), "-G",
                      "Ninja", "-DBUILD_TESTING=OFF"],
@@ -157,16 +157,16 @@
     return copy / "out/apps/knapweedstile/knapweedstile"
 
 
-def first_broken(soak, program):
+def violated_guarantees(soak, program):
     environment = dict(os.environ, KNAP_NODE_PROGRAM=str(program))
     runs = [subprocess.Popen([soak, "--seed", str(seed)], env=environment,
                              stdout=subprocess.PIPE, stderr=subprocess.DEVNULL,
                              text=True) for seed in SEEDS]
     found = {}
     for seed, run in zip(SEEDS, runs):
-        for promise in set(re.findall(r"^BROKEN ([^:]*):",
+        for guarantee in set(re.findall(r"^BROKEN ([^:]*):",
                                       run.communicate()[0], re.MULTILINE)):
-            found.setdefault(promise, []).append(seed)
+            found.setdefault(guarantee, []).append(seed)
     return found
 
 
@@ -179,11 +179,11 @@
             shutil.copytree(ROOT, copy, ignore=shutil.ignore_patterns(
                 "build*", "target", ".git", "journal"))
             switch_off(copy, GUARDS[name])
-            found = first_broken(build_dir / "tests/soak/knap_soak",
-                                 build(copy))
+            found = violated_guarantees(build_dir / "tests/soak/knap_soak",
+                                        build(copy))
         missed += not found
-        seen = "; ".join(f"{promise} (seeds {', '.join(map(str, seeds))})"
-                         for promise, seeds in sorted(found.items()))
+        seen = "; ".join(f"{guarantee} (seeds {', '.join(map(str, seeds))})"
+                         for guarantee, seeds in sorted(found.items()))
         print(f"{name}: {seen or 'NOT CAUGHT'}", flush=True)
     sys.exit(1 if missed else 0)
 
--- a/scripts/lib.sh
+++ b/scripts/lib.sh
@@ -1,5 +1,5 @@
-# Shell functions shared by build.sh and the scripts it starts. Sourced from
-# the repository's root.
+# Shell functions shared by build.sh and the scripts that it runs. Sourced from
+# the root of the repository.
 
 BUILD_DIR=${BUILD_DIR:-build}
 JOBS=${JOBS:-$(nproc)}
@@ -11,8 +11,8 @@
     $(cat scripts/packages.txt) >/dev/null
 }
 
-# Installs only when a declared package is missing, so that a run without a
-# package registry works on a machine that is already set up.
+# Installs only if a declared package is missing, so that no package registry is
+# needed on a machine that is already set up.
 ensure_packages() {
   # shellcheck disable=SC2046
   if ! dpkg -s $(cat scripts/packages.txt) >/dev/null 2>&1; then
@@ -39,9 +39,9 @@
   echo "format: clean"
 }
 
-# A file is linted again only when its preprocessed text, the linter's settings
-# or its version changed: the stamp's name is the hash of all three, so a stamp
-# never stands for other input.
+# Lints a file again only if its preprocessed text, the linter's settings or the
+# linter's version changed. The stamp's name is the hash of all three, so a stamp
+# is never reused for different input.
 check_lint() {
   mkdir -p "$BUILD_DIR/lint"
   own_sources | grep '\.cc$' | xargs -P "$JOBS" -n 1 scripts/lint_file.sh "$BUILD_DIR"
@@ -55,7 +55,7 @@
     known=$( (grep -vE '^\s*(#|$)' "$red" || true) | awk '{print $1}' | paste -sd'|' -)
   fi
   if [ -n "$known" ]; then
-    echo "known red, passed over (see KNOWN-RED.txt):"
+    echo "known failures, skipped (see KNOWN-RED.txt):"
     grep -vE '^\s*(#|$)' "$red"
     ctest --test-dir "$BUILD_DIR" --output-on-failure -E "^($known)\$" "$@"
   else
--- a/scripts/lint_file.sh
+++ b/scripts/lint_file.sh
@@ -18,7 +18,7 @@
         break
 PY
 )
-# A file outside every target has no compile command and nothing to check.
+# A file that belongs to no target has no compile command to lint it with.
 [ -n "$command" ] || { echo "lint: $file is in no target" >&2; exit 1; }
 directory=$(head -n 1 <<<"$command")
 text=$(cd "$directory" && eval "$(tail -n 1 <<<"$command")" 2>/dev/null | sha256sum)
--- a/scripts/settings_page.sh
+++ b/scripts/settings_page.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Writes docs/settings.md from the programs' own tables of keys; with --check,
-# fails when the page is not what they say.
+# Generates docs/settings.md from the programs' tables of settings keys. With
+# --check, fails if the page differs from the tables.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 program=${BUILD_DIR:-build}/apps/knapweedstile/knapweedstile
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs the fault soak over a range of seeds, or with fresh seeds for some
-# minutes. Logs of seeds that failed stay; their commands are printed.
+# Runs the fault soak over a range of seeds, or with new seeds for a number of
+# minutes. Prints where the output of each failed seed is kept.
 set -euo pipefail
 cd "$(dirname "${BASH_SOURCE[0]}")/.."
 
@@ -12,12 +12,12 @@
     --minutes) minutes=$2 ;;
     --size) size=$2 ;;
     --at-once) at_once=$2 ;;
-    *) echo "unknown: $1; see ./build.sh help" >&2; exit 2 ;;
+    *) echo "unknown option: $1; see ./build.sh help" >&2; exit 2 ;;
   esac
   shift 2
 done
 
-# Fresh seeds count on from the time, so that no two sittings use the same.
+# New seeds count up from the current time, so that runs do not repeat seeds.
 if [ -n "$seeds" ]; then
   first=${seeds%%..*} last=${seeds##*..} end=""
 else
@@ -38,5 +38,5 @@
   fi
 }
 export -f run_one
-# A failed seed does not end the others; the exit code tells of it.
+# A failed seed does not stop the others; the script then exits nonzero.
 seq "$first" "$last" | xargs -P "$at_once" -I{} bash -c 'run_one {}'
