--- a/apps/knapweedstile/main.cc
+++ b/apps/knapweedstile/main.cc
@@ -10,7 +10,7 @@
 #include "gateway/gateway_settings.h"
 #include "settings/schema.h"
 
-// The node of the system: `knapweedstile ROLE --config FILE`.
+// Server program of the system: `knapweedstile ROLE --config FILE`.
 namespace knapweedstile {
 namespace {
 
@@ -29,16 +29,16 @@
   cxxopts::Options options(
       "knapweedstile",
       "One node of the serving system.\n\n"
-      "  gateway  takes callers' requests, routes them, runs batch jobs\n"
-      "  store    on a VM with a disk; reports it as empty when asked\n\n"
-      "Exit codes: 0 stopped gracefully, 2 wrong usage, 3 cannot listen, "
-      "4 wrong settings.\n");
+      "  gateway  routes requests to backend servers, runs batch jobs\n"
+      "  store    runs on a VM with a disk; reports it as empty on request\n\n"
+      "Exit codes: 0 stopped gracefully, 2 usage error, 3 cannot listen, "
+      "4 invalid settings.\n");
   options.positional_help("gateway|store");
   options.add_options()("role", "gateway or store",
                         cxxopts::value<std::string>())(
       "config", "settings file (TOML; every key: docs/settings.md)",
       cxxopts::value<std::string>(),
-      "FILE")("check", "check the settings file as a whole and exit")(
+      "FILE")("check", "validate the settings file and exit")(
       "reference", "print the table of settings keys and exit")(
       "help", "print this text and exit");
   options.parse_positional({"role"});
@@ -52,7 +52,7 @@
   return kExitSettings;
 }
 
-// Binds, loads and checks one role's settings, then runs it.
+// Binds, loads and validates the settings of one role, then runs it.
 template <typename Settings>
 int RunRole(const Arguments& arguments,
             void (*bind)(settings::Schema&, Settings*),
@@ -65,13 +65,13 @@
     return kExitOk;
   }
   if (arguments.config.empty()) {
-    fmt::print(stderr, "--config FILE is missing\n");
+    fmt::print(stderr, "--config FILE is required\n");
     return kExitUsage;
   }
   const auto errors = schema.Load(arguments.config);
   if (!errors.empty()) return ReportErrors(errors);
   if (arguments.check) {
-    fmt::print("{}: right\n", arguments.config);
+    fmt::print("{}: valid\n", arguments.config);
     return kExitOk;
   }
   return run(values);
@@ -93,7 +93,7 @@
 int Main(int argc, char** argv) {
   cxxopts::Options options = MakeOptions();
   Arguments arguments;
-  // The library reports wrong usage by exceptions; they end here.
+  // cxxopts reports usage errors by exceptions; they are handled here.
   try {
     const auto parsed = options.parse(argc, argv);
     if (parsed.count("help") != 0) {
