--- a/apps/knapctl/src/arguments.cc
+++ b/apps/knapctl/src/arguments.cc
@@ -1,4 +1,4 @@
-#include "words.h"
+#include "arguments.h"
 
 #include <fmt/core.h>
 
@@ -8,23 +8,24 @@
 
 namespace knapweedstile::ctl {
 
-ParsedWords ParseWords(
+ParsedArguments ParseArguments(
     const std::string& program, const std::string& text,
-    const std::vector<std::string>& words,
+    const std::vector<std::string>& arguments,
     const std::function<void(cxxopts::Options&)>& add_options) {
   cxxopts::Options options(program, text);
   options.allow_unrecognised_options();
   options.add_options()("help", "print this text and exit");
   add_options(options);
   std::vector<const char*> argv{program.c_str()};
-  for (const std::string& word : words) argv.push_back(word.c_str());
-  // The library reports wrong usage by exceptions; they end here.
+  for (const std::string& argument : arguments)
+    argv.push_back(argument.c_str());
+  // cxxopts reports usage errors by exceptions; they are handled here.
   try {
     cxxopts::ParseResult result =
         options.parse(static_cast<int>(argv.size()), argv.data());
     bool unknown_flag = false;
-    for (const std::string& word : result.unmatched()) {
-      unknown_flag |= word.starts_with("--");
+    for (const std::string& argument : result.unmatched()) {
+      unknown_flag |= argument.starts_with("--");
     }
     if (result.count("help") == 0 && !unknown_flag) {
       return {std::move(result), ExitCode::kOk};
@@ -32,7 +33,7 @@
     fmt::print(unknown_flag ? stderr : stdout, "{}", options.help());
     return {std::nullopt, unknown_flag ? ExitCode::kUsage : ExitCode::kOk};
   } catch (const cxxopts::exceptions::exception& error) {
-    Complain(std::string(error.what()) + "; see --help");
+    PrintError(std::string(error.what()) + "; see --help");
   }
   return {std::nullopt, ExitCode::kUsage};
 }
--- a/apps/knapctl/src/arguments.h
+++ b/apps/knapctl/src/arguments.h
@@ -1,5 +1,5 @@
-#ifndef KNAPWEEDSTILE_KNAPCTL_WORDS_H_
-#define KNAPWEEDSTILE_KNAPCTL_WORDS_H_
+#ifndef KNAPWEEDSTILE_KNAPCTL_ARGUMENTS_H_
+#define KNAPWEEDSTILE_KNAPCTL_ARGUMENTS_H_
 
 #include <cxxopts.hpp>
 #include <functional>
@@ -11,19 +11,20 @@
 
 namespace knapweedstile::ctl {
 
-// A command's own words, or the code to exit with: after --help and after wrong
-// usage, which have then been printed.
-struct ParsedWords {
+// Parsed arguments of a command. `result` is empty after --help or a usage
+// error; these have then been printed, and the program exits with `code`.
+struct ParsedArguments {
   std::optional<cxxopts::ParseResult> result;
   ExitCode code = ExitCode::kOk;
 };
 
-// Words that are no flags are in result->unmatched().
-ParsedWords ParseWords(
+// Parses the flags of one command; `text` describes it in --help. Positional
+// arguments are in result->unmatched().
+ParsedArguments ParseArguments(
     const std::string& program, const std::string& text,
-    const std::vector<std::string>& words,
+    const std::vector<std::string>& arguments,
     const std::function<void(cxxopts::Options&)>& add_options);
 
 }  // namespace knapweedstile::ctl
 
-#endif  // KNAPWEEDSTILE_KNAPCTL_WORDS_H_
+#endif  // KNAPWEEDSTILE_KNAPCTL_ARGUMENTS_H_
--- a/apps/knapctl/src/batch_api.cc
+++ b/apps/knapctl/src/batch_api.cc
@@ -19,64 +19,64 @@
 
 constexpr unsigned kNotFoundStatus = 404;
 constexpr unsigned kConflictStatus = 409;
-constexpr unsigned kFirstError = 400;
-constexpr unsigned kTooMany = 429;
-constexpr unsigned kUnavailable = 503;
-// Below what a gateway takes as one job.
-constexpr size_t kLinesOfJob = 1000;
-constexpr int kSubmitTries = 20;
-constexpr std::chrono::milliseconds kSubmitPause{500};
-
-// The lines of a file in parts that are a job each.
-std::vector<std::string> SplitLines(const std::string& body) {
+constexpr unsigned kFirstErrorStatus = 400;
+constexpr unsigned kTooManyRequestsStatus = 429;
+constexpr unsigned kServiceUnavailableStatus = 503;
+// Below the number of items that a gateway accepts in one job.
+constexpr size_t kMaxLinesPerJob = 1000;
+constexpr int kMaxSubmitAttempts = 20;
+constexpr std::chrono::milliseconds kSubmitRetryDelay{500};
+
+// Splits a file of JSON lines into bodies of at most kMaxLinesPerJob lines.
+std::vector<std::string> SplitIntoJobs(const std::string& body) {
   std::vector<std::string> parts;
   std::istringstream text(body);
   size_t lines = 0;
   for (std::string line; std::getline(text, line);) {
-    if (lines++ % kLinesOfJob == 0) parts.emplace_back();
+    if (lines++ % kMaxLinesPerJob == 0) parts.emplace_back();
     parts.back() += line + "\n";
   }
   if (parts.empty()) parts.emplace_back();
   return parts;
 }
 
-uint64_t NumberAt(const json::object& object, const char* name) {
+uint64_t NumberField(const json::object& object, const char* name) {
   const json::value* value = object.if_contains(name);
   if (value == nullptr || !value->is_int64()) return 0;
   return static_cast<uint64_t>(value->get_int64());
 }
 
-std::string TextAt(const json::object& object, const char* name) {
+std::string StringField(const json::object& object, const char* name) {
   const json::value* value = object.if_contains(name);
   return value != nullptr && value->is_string()
              ? std::string(value->get_string())
              : std::string();
 }
 
-JobView ViewOf(const std::string& body) {
+JobStatus ParseJobStatus(const std::string& body) {
   boost::system::error_code error;
   const json::value value = json::parse(body, error);
-  JobView job;
+  JobStatus job;
   if (error || !value.is_object()) return job;
   const json::object& fields = value.get_object();
-  job.id = TextAt(fields, "id");
-  job.state = TextAt(fields, "state");
-  job.total = NumberAt(fields, "total");
-  job.completed = NumberAt(fields, "completed");
-  job.failed = NumberAt(fields, "failed");
-  job.cancelled = NumberAt(fields, "cancelled");
+  job.id = StringField(fields, "id");
+  job.state = StringField(fields, "state");
+  job.total = NumberField(fields, "total");
+  job.completed = NumberField(fields, "completed");
+  job.failed = NumberField(fields, "failed");
+  job.cancelled = NumberField(fields, "cancelled");
   return job;
 }
 
 }  // namespace
 
-ExitCode CodeOf(const http::EndEvent& end) {
+ExitCode ToExitCode(const http::EndEvent& end) {
   if (end.outcome != http::ClientOutcome::kComplete) {
-    Complain("no entry answers: " + end.message);
+    PrintError("no gateway responded: " + end.message);
     return ExitCode::kUnavailable;
   }
-  if (end.status < kFirstError) return ExitCode::kOk;
-  Complain(end.body);
+  if (end.status < kFirstErrorStatus) return ExitCode::kOk;
+  PrintError(end.body);
   if (end.status == kNotFoundStatus) return ExitCode::kNotFound;
   if (end.status == kConflictStatus) return ExitCode::kConflict;
   return ExitCode::kFailed;
@@ -88,13 +88,13 @@
                               const std::string& key) const {
   http::EndEvent end;
   end.message = "no --entry given";
-  for (const std::string& entry : line_.entries) {
+  for (const std::string& gateway : line_.gateways) {
     HttpCall call;
-    call.address = entry;
+    call.address = gateway;
     call.method = method;
     call.target = target;
     call.body = body;
-    call.headers.Add("Host", line_.host.empty() ? entry : line_.host);
+    call.headers.Add("Host", line_.host.empty() ? gateway : line_.host);
     call.headers.Add("X-Workspace", line_.workspace);
     if (!line_.api_key.empty()) {
       call.headers.Add("Authorization", "Bearer " + line_.api_key);
@@ -106,57 +106,62 @@
   return end;
 }
 
-std::vector<std::string> SplitIds(const std::string& id) {
+std::vector<std::string> SplitJobIds(const std::string& id) {
   std::vector<std::string> ids;
   std::istringstream text(id);
-  for (std::string one; std::getline(text, one, ',');) ids.push_back(one);
+  for (std::string job_id; std::getline(text, job_id, ',');)
+    ids.push_back(job_id);
   return ids;
 }
 
 ExitCode BatchApi::Submit(const std::string& body, const std::string& key,
-                          JobView* job) const {
+                          JobStatus* job) const {
   std::string ids;
   size_t part = 0;
-  for (const std::string& lines : SplitLines(body)) {
-    // With the same key a resent file is the same jobs again.
+  for (const std::string& lines : SplitIntoJobs(body)) {
+    // Derived keys: resending a file with the same key yields the same jobs.
     const std::string part_key =
         key.empty() ? key : key + "/" + std::to_string(part++);
     http::EndEvent end;
-    // A full quota or a store that is away passes; the job is the same one.
-    for (int tries = 0; tries < kSubmitTries; ++tries) {
+    // A full quota and an unavailable store are temporary; the idempotency key
+    // keeps a retry from creating a second job.
+    for (int attempt = 0; attempt < kMaxSubmitAttempts; ++attempt) {
       end = Call("POST", "/v1/batches", lines, part_key);
-      const bool later = end.status == kTooMany || end.status == kUnavailable;
-      if (!later || part_key.empty()) break;
-      std::this_thread::sleep_for(kSubmitPause);
+      const bool retryable = end.status == kTooManyRequestsStatus ||
+                             end.status == kServiceUnavailableStatus;
+      if (!retryable || part_key.empty()) break;
+      std::this_thread::sleep_for(kSubmitRetryDelay);
     }
-    if (const ExitCode code = CodeOf(end); code != ExitCode::kOk) return code;
+    if (const ExitCode code = ToExitCode(end); code != ExitCode::kOk)
+      return code;
     if (!ids.empty()) ids += ',';
-    ids += ViewOf(end.body).id;
+    ids += ParseJobStatus(end.body).id;
   }
   return Status(ids, job);
 }
 
-ExitCode BatchApi::Status(const std::string& id, JobView* job) const {
-  JobView sum{.id = id, .state = "completed"};
-  for (const std::string& one : SplitIds(id)) {
+ExitCode BatchApi::Status(const std::string& id, JobStatus* job) const {
+  JobStatus total{.id = id, .state = "completed"};
+  for (const std::string& job_id : SplitJobIds(id)) {
     const http::EndEvent end =
-        Call("GET", "/v1/batches/" + UrlEncode(one), "", "");
-    if (const ExitCode code = CodeOf(end); code != ExitCode::kOk) return code;
-    const JobView view = ViewOf(end.body);
-    if (view.state != "completed") sum.state = view.state;
-    sum.total += view.total;
-    sum.completed += view.completed;
-    sum.failed += view.failed;
-    sum.cancelled += view.cancelled;
+        Call("GET", "/v1/batches/" + UrlEncode(job_id), "", "");
+    if (const ExitCode code = ToExitCode(end); code != ExitCode::kOk)
+      return code;
+    const JobStatus status = ParseJobStatus(end.body);
+    if (status.state != "completed") total.state = status.state;
+    total.total += status.total;
+    total.completed += status.completed;
+    total.failed += status.failed;
+    total.cancelled += status.cancelled;
   }
-  *job = sum;
+  *job = total;
   return ExitCode::kOk;
 }
 
 ExitCode BatchApi::Cancel(const std::string& id) const {
-  for (const std::string& one : SplitIds(id)) {
-    const ExitCode code = CodeOf(
-        Call("POST", "/v1/batches/" + UrlEncode(one) + "/cancel", "", ""));
+  for (const std::string& job_id : SplitJobIds(id)) {
+    const ExitCode code = ToExitCode(
+        Call("POST", "/v1/batches/" + UrlEncode(job_id) + "/cancel", "", ""));
     if (code != ExitCode::kOk) return code;
   }
   return ExitCode::kOk;
@@ -169,7 +174,7 @@
                                       "/results?after=" + std::to_string(after),
                                   "", "");
   *next_after = 0;
-  const ExitCode code = CodeOf(end);
+  const ExitCode code = ToExitCode(end);
   if (code != ExitCode::kOk) return code;
   *lines = end.body;
   const std::string_view next = end.headers.Find("X-Next-After");
--- a/apps/knapctl/src/batch_api.h
+++ b/apps/knapctl/src/batch_api.h
@@ -12,8 +12,8 @@
 
 struct CommandLine;
 
-// What a batch job's status says.
-struct JobView {
+// Status of a batch job as the gateway reports it; counts are in items.
+struct JobStatus {
   std::string id;
   std::string state;
   uint64_t total = 0;
@@ -21,37 +21,42 @@
   uint64_t failed = 0;
   uint64_t cancelled = 0;
 
-  bool Ended() const { return state == "completed" || state == "cancelled"; }
+  bool IsFinished() const {
+    return state == "completed" || state == "cancelled";
+  }
 };
 
-// The callers' side of batch jobs, over any entry. A file that is too large for
-// one job becomes several; an id here is then theirs, joined by commas, and
-// stands for all of them.
+// Client of the native batch API, through any gateway. A file that is too large
+// for one job is split into several; the id is then a comma-separated list of
+// their ids. Every call prints its errors to standard error.
 class BatchApi {
  public:
   explicit BatchApi(const CommandLine& line) : line_(line) {}
 
+  // Submits `body`, one JSON item per line, and reads back the status. Retries
+  // temporary rejections (429, 503) if the idempotency `key` is not empty.
   ExitCode Submit(const std::string& body, const std::string& key,
-                  JobView* job) const;
-  ExitCode Status(const std::string& id, JobView* job) const;
+                  JobStatus* job) const;
+  ExitCode Status(const std::string& id, JobStatus* job) const;
   ExitCode Cancel(const std::string& id) const;
-  // One page of one job; `next_after` is zero after the last one.
+  // Reads one page of one job's results after sequence number `after`.
+  // `next_after` is zero after the last page.
   ExitCode Results(const std::string& id, uint64_t after, std::string* lines,
                    uint64_t* next_after) const;
 
  private:
-  // Tries the entries in turn until one answers; any of them will do.
+  // Tries the gateways in turn until one responds; all serve the same API.
   http::EndEvent Call(const std::string& method, const std::string& target,
                       const std::string& body, const std::string& key) const;
 
   const CommandLine& line_;
 };
 
-// The single ids of a joined one.
-std::vector<std::string> SplitIds(const std::string& id);
+// Splits a comma-separated list of job ids.
+std::vector<std::string> SplitJobIds(const std::string& id);
 
-// What an entry's answer means for the exit code; complaints are printed.
-ExitCode CodeOf(const http::EndEvent& end);
+// Maps a gateway's response to an exit code and prints its error, if any.
+ExitCode ToExitCode(const http::EndEvent& end);
 
 }  // namespace knapweedstile::ctl
 
--- a/apps/knapctl/src/command_line.h
+++ b/apps/knapctl/src/command_line.h
@@ -6,16 +6,18 @@
 
 namespace knapweedstile::ctl {
 
-// The flags that every command takes; a command's own flags are parsed by it.
+// Flags common to all commands. Each command parses its own arguments.
 struct CommandLine {
-  std::string platform;              // --platform, or KNAP_PLATFORM
-  std::vector<std::string> entries;  // --entry, or KNAP_ENTRIES (by comma)
-  std::vector<std::string> admins;   // --admin, or KNAP_ADMINS (by comma)
+  std::string platform;  // --platform, or KNAP_PLATFORM
+  // --entry, or KNAP_ENTRIES (comma-separated): callers' addresses.
+  std::vector<std::string> gateways;
+  // --admin, or KNAP_ADMINS (comma-separated): admin addresses.
+  std::vector<std::string> admins;
   std::string workspace = "default";
-  std::string api_key;  // KNAP_API_KEY: of the workspace
-  std::string host;     // --host, or KNAP_HOST: of the routes asked for
+  std::string api_key;  // KNAP_API_KEY: key of the workspace
+  std::string host;     // --host, or KNAP_HOST: host of the requested routes
   bool json = false;    // -o json
-  std::vector<std::string> words;
+  std::vector<std::string> arguments;
 };
 
 }  // namespace knapweedstile::ctl
--- a/apps/knapctl/src/compare_command.cc
+++ b/apps/knapctl/src/compare_command.cc
@@ -4,12 +4,12 @@
 
 #include <string>
 
+#include "arguments.h"
 #include "command_line.h"
 #include "comparison_plan.h"
 #include "comparison_run.h"
-#include "load_words.h"
+#include "load_options.h"
 #include "output.h"
-#include "words.h"
 
 namespace knapweedstile::ctl {
 namespace {
@@ -18,47 +18,47 @@
 using decide::PolicyComparison;
 using decide::SideResult;
 
-constexpr double kMillis = 1000;
+constexpr double kMillisPerSecond = 1000;
 
-std::string Verdict(ComparisonVerdict verdict, const ComparisonPlan& plan) {
+std::string VerdictText(ComparisonVerdict verdict, const ComparisonPlan& plan) {
   switch (verdict) {
     case ComparisonVerdict::kFirstBetter:
       return plan.first + " is better";
     case ComparisonVerdict::kSecondBetter:
       return plan.second + " is better";
     case ComparisonVerdict::kWithinNoise:
-      return "within noise: no difference shown";
+      return "no significant difference (within noise)";
   }
   return "";
 }
 
-void AddSide(TextTable& table, const std::string& name,
-             const SideResult& side) {
-  table.Add({name, std::to_string(side.online_samples),
-             fmt::format("{:.1f}", side.p50_seconds * kMillis),
-             fmt::format("{:.1f}", side.p95_seconds * kMillis),
-             fmt::format("{:.1f}", side.p99_seconds * kMillis),
-             side.harm > 0 ? fmt::format("{:.2f}x", side.harm) : "-",
-             fmt::format("{:.1f}", side.batch_items_per_second)});
+void AddPolicyRow(TextTable& table, const std::string& name,
+                  const SideResult& side) {
+  table.AddRow({name, std::to_string(side.online_samples),
+                fmt::format("{:.1f}", side.p50_seconds * kMillisPerSecond),
+                fmt::format("{:.1f}", side.p95_seconds * kMillisPerSecond),
+                fmt::format("{:.1f}", side.p99_seconds * kMillisPerSecond),
+                side.harm > 0 ? fmt::format("{:.2f}x", side.harm) : "-",
+                fmt::format("{:.1f}", side.batch_items_per_second)});
 }
 
 void PrintText(const ComparisonPlan& plan, const PolicyComparison& result) {
   TextTable table;
-  table.Add({"policy", "online", "TTFT p50 ms", "p95 ms", "p99 ms",
-             "p99 vs no batch", "batch items/s"});
-  AddSide(table, plan.first, result.first);
-  AddSide(table, plan.second, result.second);
+  table.AddRow({"policy", "online", "TTFT p50 ms", "p95 ms", "p99 ms",
+                "p99 vs no batch", "batch items/s"});
+  AddPolicyRow(table, plan.first, result.first);
+  AddPolicyRow(table, plan.second, result.second);
   fmt::print("{}", table.Render());
   fmt::print("blocks={}\n", result.blocks);
   fmt::print(
       "online tail: {} (p99 of {} over {}: {:.2f}, 95 in 100: {:.2f} to "
       "{:.2f})\n",
-      Verdict(result.online_tail, plan), plan.second, plan.first,
+      VerdictText(result.online_tail, plan), plan.second, plan.first,
       result.online_p99.ratio, result.online_p99.low, result.online_p99.high);
   fmt::print(
       "batch throughput: {} (rate of {} over {}: {:.2f}, 95 in 100: "
       "{:.2f} to {:.2f})\n",
-      Verdict(result.batch_throughput, plan), plan.second, plan.first,
+      VerdictText(result.batch_throughput, plan), plan.second, plan.first,
       result.batch_rate.ratio, result.batch_rate.low, result.batch_rate.high);
 }
 
@@ -88,56 +88,58 @@
   options.add_options()("first", "name of the first policy",
                         value<std::string>())(
       "second", "name of the second policy", value<std::string>())(
-      "label", "the engines' label that the policies select by",
+      "label", "label key of the engines that the policies select on",
       value<std::string>()->default_value("serving"))(
-      "select", "relabel only engines with K=V",
+      "select", "relabel only engines that have the label K=V",
       value<std::string>()->default_value(""))(
-      "blocks", "time blocks; each serves under both policies",
+      "blocks", "number of time blocks; each runs both policies",
       value<uint32_t>()->default_value("6"))(
-      "block-seconds", "length of a block",
+      "block-seconds", "length of a block in seconds",
       value<double>()->default_value("6"))(
-      "settle-ms", "left out after each change",
+      "settle-ms", "time excluded from samples after each policy change",
       value<uint32_t>()->default_value("500"))(
-      "baseline-seconds", "the same traffic without batch, before",
+      "baseline-seconds", "length of the preceding run without batch",
       value<double>()->default_value("6"))(
-      "batch-items", "items of the job beside it",
+      "batch-items", "items of the batch job",
       value<uint32_t>()->default_value("20000"))(
       "batch-tokens", "max_tokens of an item",
       value<uint32_t>()->default_value("32"));
 }
 
-ComparisonPlan PlanOf(const cxxopts::ParseResult& words) {
+ComparisonPlan ParsePlan(const cxxopts::ParseResult& arguments) {
   ComparisonPlan plan;
-  plan.first = words["first"].as<std::string>();
-  plan.second = words["second"].as<std::string>();
-  plan.label = words["label"].as<std::string>();
-  plan.select = words["select"].as<std::string>();
-  plan.blocks = words["blocks"].as<uint32_t>();
-  plan.block = FromSeconds(words["block-seconds"].as<double>());
-  plan.settle = std::chrono::milliseconds(words["settle-ms"].as<uint32_t>());
-  plan.baseline = FromSeconds(words["baseline-seconds"].as<double>());
-  plan.batch_items = words["batch-items"].as<uint32_t>();
-  plan.batch_tokens = words["batch-tokens"].as<uint32_t>();
-  plan.mix = MixOf(words);
+  plan.first = arguments["first"].as<std::string>();
+  plan.second = arguments["second"].as<std::string>();
+  plan.label = arguments["label"].as<std::string>();
+  plan.engine_selector = arguments["select"].as<std::string>();
+  plan.blocks = arguments["blocks"].as<uint32_t>();
+  plan.block_length = FromSeconds(arguments["block-seconds"].as<double>());
+  plan.settle_time =
+      std::chrono::milliseconds(arguments["settle-ms"].as<uint32_t>());
+  plan.baseline_length =
+      FromSeconds(arguments["baseline-seconds"].as<double>());
+  plan.batch_items = arguments["batch-items"].as<uint32_t>();
+  plan.batch_tokens = arguments["batch-tokens"].as<uint32_t>();
+  plan.mix = ToLoadMix(arguments);
   return plan;
 }
 
 }  // namespace
 
 ExitCode RunCompare(const CommandLine& line) {
-  const ParsedWords parsed = ParseWords(
+  const ParsedArguments parsed = ParseArguments(
       "knapctl compare",
       "Compares two serving policies on one fleet: the same online traffic "
       "beside batch,\nthe engines relabelled between the two in blocks of "
       "time.",
-      line.words, AddOptions);
+      line.arguments, AddOptions);
   if (!parsed.result) return parsed.code;
   if (parsed.result->count("first") == 0 ||
-      parsed.result->count("second") == 0 || line.entries.empty()) {
-    Complain("--first, --second and --entry are needed; see --help");
+      parsed.result->count("second") == 0 || line.gateways.empty()) {
+    PrintError("--first, --second and --entry are required; see --help");
     return ExitCode::kUsage;
   }
-  const ComparisonPlan plan = PlanOf(*parsed.result);
+  const ComparisonPlan plan = ParsePlan(*parsed.result);
   ComparisonRun run(line, plan);
   const ExitCode code = run.Run();
   if (code != ExitCode::kOk) return code;
@@ -147,9 +149,10 @@
   } else {
     PrintText(plan, result);
   }
-  if (run.wrong_answers() > 0) {
-    Complain(fmt::format("{} answers were not the caller's own or not whole",
-                         run.wrong_answers()));
+  if (run.invalid_responses() > 0) {
+    PrintError(fmt::format(
+        "{} responses were incomplete or did not match their request",
+        run.invalid_responses()));
     return ExitCode::kFailed;
   }
   return ExitCode::kOk;
--- a/apps/knapctl/src/compare_command.h
+++ b/apps/knapctl/src/compare_command.h
@@ -7,8 +7,9 @@
 
 struct CommandLine;
 
-// `compare`: two serving policies on one fleet, interleaved in time by
-// relabelling its engines, under the same online traffic beside batch.
+// `knapctl compare`: compares two serving policies on one fleet. The policies
+// alternate in time by relabelling the engines, under the same online traffic
+// beside batch.
 ExitCode RunCompare(const CommandLine& line);
 
 }  // namespace knapweedstile::ctl
--- a/apps/knapctl/src/comparison_plan.h
+++ b/apps/knapctl/src/comparison_plan.h
@@ -10,23 +10,24 @@
 
 namespace knapweedstile::ctl {
 
-// What one comparison does, from its words.
+// Parameters of one comparison, from the command line.
 struct ComparisonPlan {
-  std::string first;   // names of the two policies, which are also the values
-  std::string second;  // of the engines' label
+  // Names of the two policies, which are also the values of the engines' label.
+  std::string first;
+  std::string second;
   std::string label = "serving";
-  std::string select;  // engines to relabel: KEY=VALUE; empty: all
+  std::string engine_selector;  // KEY=VALUE; empty: all engines
   uint32_t blocks = 6;
-  Duration block = std::chrono::seconds(6);
-  Duration settle = std::chrono::milliseconds(500);
-  Duration baseline = std::chrono::seconds(6);
+  Duration block_length = std::chrono::seconds(6);
+  Duration settle_time = std::chrono::milliseconds(500);
+  Duration baseline_length = std::chrono::seconds(6);
   uint32_t batch_items = 20000;
   uint32_t batch_tokens = 32;
   load::LoadMix mix;
 
-  // Which policy is in force at a time since the first block began.
+  // Returns the policy that is active at a time since the first block began.
   decide::PolicySide SideAt(Duration since_start) const;
-  const std::string& NameOfSide(decide::PolicySide side) const {
+  const std::string& PolicyName(decide::PolicySide side) const {
     return side == decide::PolicySide::kFirst ? first : second;
   }
 };
--- a/apps/knapctl/src/comparison_run.h
+++ b/apps/knapctl/src/comparison_run.h
@@ -18,46 +18,47 @@
 
 struct CommandLine;
 
-// Carries a comparison out: a baseline without batch, then the same traffic
-// beside a batch job while the engines are relabelled between the two policies.
-// The relabelling and the counting of batch items run on a thread of their own.
+// Runs a comparison: a baseline without batch, then the same traffic beside a
+// batch job while the engines are relabelled between the two policies. A second
+// thread relabels the engines and samples the job's progress.
 class ComparisonRun {
  public:
   ComparisonRun(const CommandLine& line, const ComparisonPlan& plan);
 
-  // Blocks for the whole run.
+  // Blocks until the comparison has finished. Prints errors.
   ExitCode Run();
-  // Once Run is done.
+  // Requires that Run has returned kOk.
   decide::PolicyComparison Compare() const;
-  uint64_t wrong_answers() const noexcept { return wrong_answers_; }
+  uint64_t invalid_responses() const noexcept { return invalid_responses_; }
   uint32_t relabels() const noexcept { return relabels_; }
-  const JobView& job() const noexcept { return job_; }
+  const JobStatus& job() const noexcept { return job_; }
 
  private:
   std::vector<load::CallOutcome> RunTraffic(const char* title, Duration length,
                                             TimePoint* started_at);
-  // Thread: relabels at each change of side and samples the job's counts.
-  void Drive(TimePoint start);
-  bool Relabel(decide::PolicySide side);
-  void CountBatch(TimePoint now);
-  void KeepSamples(const std::vector<load::CallOutcome>& outcomes,
-                   TimePoint started_at);
+  // Body of the second thread: relabels the engines at each change of policy
+  // and samples the job's progress until `stop_` is set.
+  void SwitchPolicies(TimePoint start);
+  bool RelabelEngines(decide::PolicySide side);
+  void SampleBatchProgress(TimePoint now);
+  void RecordOnlineSamples(const std::vector<load::CallOutcome>& outcomes,
+                           TimePoint started_at);
 
   const CommandLine& line_;
   ComparisonPlan plan_;
   ObjectStore store_;
-  BatchApi batch_;
-  JobView job_;
+  BatchApi batch_api_;
+  JobStatus job_;
   std::vector<std::string> engines_;
   std::vector<decide::ComparisonSample> samples_;
-  std::vector<decide::ComparisonSample> batch_samples_;  // Drive's thread
-  std::vector<Duration> baseline_;
+  std::vector<decide::ComparisonSample> batch_samples_;  // by the second thread
+  std::vector<Duration> baseline_ttft_;
   TimePoint start_;
-  uint64_t batch_done_ = 0;
-  uint64_t wrong_answers_ = 0;
+  uint64_t batch_items_done_ = 0;
+  uint64_t invalid_responses_ = 0;
   uint32_t relabels_ = 0;
   std::atomic<bool> stop_{false};
-  std::atomic<bool> failed_{false};
+  std::atomic<bool> relabel_failed_{false};
 };
 
 }  // namespace knapweedstile::ctl
--- a/apps/knapctl/src/exit_code.h
+++ b/apps/knapctl/src/exit_code.h
@@ -3,15 +3,15 @@
 
 namespace knapweedstile::ctl {
 
-// The exit codes of every command (docs/operators/knapctl.md).
+// Exit codes common to all commands (docs/operators/knapctl.md).
 enum class ExitCode {
   kOk = 0,
-  kFailed = 1,       // the other side refused or failed
-  kUsage = 2,        // wrong words on the command line
-  kConflict = 3,     // somebody else changed the object meanwhile
+  kFailed = 1,       // the request was rejected or failed
+  kUsage = 2,        // invalid command line
+  kConflict = 3,     // the object has changed since it was read
   kNotFound = 4,     // no such object or job
-  kUnavailable = 5,  // the other side cannot be reached
-  kInvalid = 6,      // the object or file is not valid
+  kUnavailable = 5,  // the gateway cannot be reached
+  kInvalid = 6,      // the object or file is invalid
 };
 
 }  // namespace knapweedstile::ctl
--- a/apps/knapctl/src/explain_command.h
+++ b/apps/knapctl/src/explain_command.h
@@ -7,8 +7,8 @@
 
 struct CommandLine;
 
-// `knapctl explain`: the log lines of one request, item or job, with what the
-// same gateways believed shortly before.
+// `knapctl explain`: prints the log lines of one request, item or job together
+// with state changes of its gateways and backend servers around that time.
 ExitCode RunExplain(const CommandLine& line);
 
 }  // namespace knapweedstile::ctl
--- a/apps/knapctl/src/http_call.h
+++ b/apps/knapctl/src/http_call.h
@@ -9,6 +9,7 @@
 
 namespace knapweedstile::ctl {
 
+// A request to a gateway; `address` is IP:PORT.
 struct HttpCall {
   std::string address;
   std::string method = "GET";
@@ -18,7 +19,7 @@
   std::chrono::milliseconds timeout{35000};
 };
 
-// Sends one request and waits for its end.
+// Sends one request and blocks until its response is complete or it has failed.
 http::EndEvent Send(const HttpCall& call);
 
 // Percent-encodes one path segment or query value.
--- a/apps/knapctl/src/job_commands.cc
+++ b/apps/knapctl/src/job_commands.cc
@@ -11,15 +11,15 @@
 #include <thread>
 #include <vector>
 
+#include "arguments.h"
 #include "batch_api.h"
 #include "command_line.h"
 #include "output.h"
-#include "words.h"
 
 namespace knapweedstile::ctl {
 namespace {
 
-constexpr std::chrono::milliseconds kStatusPeriod{500};
+constexpr std::chrono::milliseconds kPollInterval{500};
 
 std::string ReadText(const std::string& file) {
   if (file == "-") return {std::istreambuf_iterator<char>(std::cin), {}};
@@ -27,7 +27,7 @@
   return {std::istreambuf_iterator<char>(stream), {}};
 }
 
-void PrintJob(const CommandLine& line, const JobView& job) {
+void PrintJob(const CommandLine& line, const JobStatus& job) {
   if (line.json) {
     fmt::print(
         "{{\"id\":\"{}\",\"state\":\"{}\",\"total\":{},\"completed\":{},"
@@ -40,30 +40,32 @@
   }
 }
 
-// Until the job has ended; its last status is left in `job`.
-ExitCode WaitForJob(const BatchApi& api, JobView* job) {
+// Polls until the job has finished; stores its last status in `job`.
+ExitCode WaitForJob(const BatchApi& api, JobStatus* job) {
   ProgressBar bar("job");
   for (;;) {
     const ExitCode code = api.Status(job->id, job);
-    if (code != ExitCode::kOk || job->Ended()) return code;
-    const uint64_t ended = job->completed + job->failed + job->cancelled;
-    bar.Show(static_cast<double>(ended) / static_cast<double>(job->total),
-             fmt::format("{}/{} items", ended, job->total));
-    std::this_thread::sleep_for(kStatusPeriod);
+    if (code != ExitCode::kOk || job->IsFinished()) return code;
+    const uint64_t finished = job->completed + job->failed + job->cancelled;
+    bar.Update(static_cast<double>(finished) / static_cast<double>(job->total),
+               fmt::format("{}/{} items", finished, job->total));
+    std::this_thread::sleep_for(kPollInterval);
   }
 }
 
-ExitCode Submit(const CommandLine& line, const cxxopts::ParseResult& words) {
-  if (words.count("file") == 0) {
-    Complain("--file is missing");
+ExitCode Submit(const CommandLine& line,
+                const cxxopts::ParseResult& arguments) {
+  if (arguments.count("file") == 0) {
+    PrintError("--file is missing");
     return ExitCode::kUsage;
   }
   const BatchApi api(line);
-  JobView job;
+  JobStatus job;
   ExitCode code = api.Submit(
-      ReadText(words["file"].as<std::string>()),
-      words.count("key") != 0 ? words["key"].as<std::string>() : "", &job);
-  if (code == ExitCode::kOk && words.count("wait") != 0) {
+      ReadText(arguments["file"].as<std::string>()),
+      arguments.count("key") != 0 ? arguments["key"].as<std::string>() : "",
+      &job);
+  if (code == ExitCode::kOk && arguments.count("wait") != 0) {
     code = WaitForJob(api, &job);
   }
   if (code == ExitCode::kOk) PrintJob(line, job);
@@ -72,7 +74,7 @@
 
 ExitCode Status(const CommandLine& line, const std::string& id, bool wait) {
   const BatchApi api(line);
-  JobView job;
+  JobStatus job;
   job.id = id;
   const ExitCode code = wait ? WaitForJob(api, &job) : api.Status(id, &job);
   if (code == ExitCode::kOk) PrintJob(line, job);
@@ -87,8 +89,8 @@
     const ExitCode code = api.Results(id, after, &lines, &next);
     if (code != ExitCode::kOk) return code;
     fmt::print("{}", lines);
-    // A running job always names the next page; without lines there is nothing
-    // more for now.
+    // A running job always has a next page; an empty one means that there are
+    // no more results yet.
     if (next == 0 || lines.empty()) return code;
     after = next;
   }
@@ -96,8 +98,8 @@
 
 ExitCode Results(const CommandLine& line, const std::string& id) {
   const BatchApi api(line);
-  for (const std::string& one : SplitIds(id)) {
-    const ExitCode code = PrintResults(api, one);
+  for (const std::string& job_id : SplitJobIds(id)) {
+    const ExitCode code = PrintResults(api, job_id);
     if (code != ExitCode::kOk) return code;
   }
   return ExitCode::kOk;
@@ -106,30 +108,32 @@
 }  // namespace
 
 ExitCode RunJob(const CommandLine& line) {
-  const ParsedWords parsed = ParseWords(
+  const ParsedArguments parsed = ParseArguments(
       "knapctl job",
       "submit --file F [--key K] [--wait]\n"
       "status ID [--wait]\nresults ID\ncancel ID",
-      line.words, [](cxxopts::Options& options) {
+      line.arguments, [](cxxopts::Options& options) {
         options.add_options()("file", "JSON lines, or - for standard input",
                               cxxopts::value<std::string>())(
-            "key", "idempotency key: a resend with it is the same job",
-            cxxopts::value<std::string>())("wait", "until the job has ended");
+            "key", "idempotency key: resubmitting with it yields the same job",
+            cxxopts::value<std::string>())("wait",
+                                           "wait until the job has finished");
       });
   if (!parsed.result) return parsed.code;
-  const std::vector<std::string>& free = parsed.result->unmatched();
-  const std::string verb = free.empty() ? "" : free[0];
+  const std::vector<std::string>& positional = parsed.result->unmatched();
+  const std::string verb = positional.empty() ? "" : positional[0];
   if (verb == "submit") return Submit(line, *parsed.result);
-  if (free.size() == 2 && verb == "status") {
-    return Status(line, free[1], parsed.result->count("wait") != 0);
+  if (positional.size() == 2 && verb == "status") {
+    return Status(line, positional[1], parsed.result->count("wait") != 0);
   }
-  if (free.size() == 2 && verb == "results") return Results(line, free[1]);
-  if (free.size() == 2 && verb == "cancel") {
-    const ExitCode code = BatchApi(line).Cancel(free[1]);
-    if (code == ExitCode::kOk) fmt::print("id={} cancelling\n", free[1]);
+  if (positional.size() == 2 && verb == "results")
+    return Results(line, positional[1]);
+  if (positional.size() == 2 && verb == "cancel") {
+    const ExitCode code = BatchApi(line).Cancel(positional[1]);
+    if (code == ExitCode::kOk) fmt::print("id={} cancelling\n", positional[1]);
     return code;
   }
-  Complain("job submit|status|results|cancel; see --help");
+  PrintError("usage: knapctl job submit|status|results|cancel; see --help");
   return ExitCode::kUsage;
 }
 
--- a/apps/knapctl/src/job_commands.h
+++ b/apps/knapctl/src/job_commands.h
@@ -7,7 +7,7 @@
 
 struct CommandLine;
 
-// `job submit|status|results|cancel`.
+// `knapctl job submit|status|results|cancel`.
 ExitCode RunJob(const CommandLine& line);
 
 }  // namespace knapweedstile::ctl
--- a/apps/knapctl/src/label_edit.cc
+++ b/apps/knapctl/src/label_edit.cc
@@ -15,17 +15,17 @@
 
 namespace json = boost::json;
 
-// Conflicts with others' edits before the command gives up.
-constexpr int kMaxTries = 8;
+// Writes attempted before giving up on conflicts with concurrent edits.
+constexpr int kMaxAttempts = 8;
 
-json::object Stored(const std::string& value) {
+json::object ParseStored(const std::string& value) {
   boost::system::error_code error;
   json::value parsed = json::parse(value, error);
   return error || !parsed.is_object() ? json::object() : parsed.get_object();
 }
 
-std::optional<std::string> LabelOf(const json::object& stored,
-                                   const std::string& key) {
+std::optional<std::string> FindLabel(const json::object& stored,
+                                     const std::string& key) {
   const json::value* labels = stored.if_contains("labels");
   if (labels == nullptr || !labels->is_object()) return std::nullopt;
   const json::value* label = labels->get_object().if_contains(key);
@@ -33,7 +33,7 @@
   return std::string(label->get_string());
 }
 
-std::string Edited(json::object stored, const LabelEdits& edits) {
+std::string ApplyEdits(json::object stored, const LabelEdits& edits) {
   if (!stored.contains("labels")) stored["labels"] = json::object();
   json::object& labels = stored["labels"].as_object();
   for (const auto& [key, value] : edits) {
@@ -46,12 +46,12 @@
   return json::serialize(stored);
 }
 
-// The first label among the edited ones that is no longer what it was.
-std::optional<std::string> Clash(const json::object& before,
-                                 const json::object& now,
-                                 const LabelEdits& edits) {
+// Returns the first edited label whose value differs between the versions.
+std::optional<std::string> FindConflict(const json::object& before,
+                                        const json::object& now,
+                                        const LabelEdits& edits) {
   for (const auto& [key, value] : edits) {
-    if (LabelOf(before, key) != LabelOf(now, key)) return key;
+    if (FindLabel(before, key) != FindLabel(now, key)) return key;
   }
   return std::nullopt;
 }
@@ -59,14 +59,14 @@
 }  // namespace
 
 std::optional<LabelEdits> ParseLabelEdits(
-    const std::vector<std::string>& words) {
+    const std::vector<std::string>& arguments) {
   LabelEdits edits;
-  for (const std::string& word : words) {
-    const size_t equals = word.find('=');
+  for (const std::string& argument : arguments) {
+    const size_t equals = argument.find('=');
     if (equals != std::string::npos && equals > 0) {
-      edits[word.substr(0, equals)] = word.substr(equals + 1);
-    } else if (word.size() > 1 && word.back() == '-') {
-      edits[word.substr(0, word.size() - 1)] = std::nullopt;
+      edits[argument.substr(0, equals)] = argument.substr(equals + 1);
+    } else if (argument.size() > 1 && argument.back() == '-') {
+      edits[argument.substr(0, argument.size() - 1)] = std::nullopt;
     } else {
       return std::nullopt;
     }
@@ -75,9 +75,9 @@
 }
 
 bool HasLabels(const std::string& value, const LabelEdits& wanted) {
-  const json::object stored = Stored(value);
+  const json::object stored = ParseStored(value);
   for (const auto& [key, label] : wanted) {
-    if (LabelOf(stored, key) != label) return false;
+    if (FindLabel(stored, key) != label) return false;
   }
   return true;
 }
@@ -85,36 +85,38 @@
 ExitCode EditLabels(const ObjectStore& store, const std::string& kind,
                     const std::string& name, const LabelEdits& edits,
                     uint64_t* version) {
-  ObjectAnswer present = store.Read(kind, name);
-  if (present.code != ExitCode::kOk) {
-    Complain(fmt::format("{}/{}: {}", kind, name, present.message));
-    return present.code;
+  ObjectResponse current = store.Read(kind, name);
+  if (current.code != ExitCode::kOk) {
+    PrintError(fmt::format("{}/{}: {}", kind, name, current.message));
+    return current.code;
   }
-  const json::object before = Stored(present.value);
-  for (int tries = 0; tries < kMaxTries; ++tries) {
-    const ObjectAnswer written = store.Write(
-        kind, name, present.version, Edited(Stored(present.value), edits));
+  const json::object before = ParseStored(current.value);
+  for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
+    const ObjectResponse written =
+        store.Write(kind, name, current.version,
+                    ApplyEdits(ParseStored(current.value), edits));
     if (written.code == ExitCode::kOk) {
       *version = written.version;
       return ExitCode::kOk;
     }
     if (written.code != ExitCode::kConflict) {
-      Complain(fmt::format("{}/{}: {}", kind, name, written.message));
+      PrintError(fmt::format("{}/{}: {}", kind, name, written.message));
       return written.code;
     }
-    present = store.Read(kind, name);
-    if (present.code != ExitCode::kOk) return present.code;
-    if (const auto label = Clash(before, Stored(present.value), edits)) {
-      Complain(fmt::format(
-          "{}/{}: label {} was changed by somebody else meanwhile\n"
-          "present: {}\nyours:   {}",
+    current = store.Read(kind, name);
+    if (current.code != ExitCode::kOk) return current.code;
+    if (const auto label =
+            FindConflict(before, ParseStored(current.value), edits)) {
+      PrintError(fmt::format(
+          "{}/{}: label {} was changed concurrently\n"
+          "current: {}\nyours:   {}",
           kind, name, *label,
-          RenderDocument(kind, name, present.version, present.value),
-          Edited(before, edits)));
+          RenderDocument(kind, name, current.version, current.value),
+          ApplyEdits(before, edits)));
       return ExitCode::kConflict;
     }
   }
-  Complain(fmt::format("{}/{}: too many changes by others", kind, name));
+  PrintError(fmt::format("{}/{}: too many concurrent changes", kind, name));
   return ExitCode::kConflict;
 }
 
--- a/apps/knapctl/src/label_edit.h
+++ b/apps/knapctl/src/label_edit.h
@@ -13,20 +13,20 @@
 
 class ObjectStore;
 
-// Labels to set; no value: to take off.
+// Labels to set, by key; no value: the label is removed.
 using LabelEdits = std::map<std::string, std::optional<std::string>>;
 
-// `K=V` sets, `K-` takes off. None when a word is neither.
+// Parses `K=V` (set) and `K-` (remove). Returns nullopt for any other argument.
 std::optional<LabelEdits> ParseLabelEdits(
-    const std::vector<std::string>& words);
+    const std::vector<std::string>& arguments);
 
-// True when the stored value carries every label of `wanted`.
+// Returns whether the stored object has every label of `wanted`.
 bool HasLabels(const std::string& value, const LabelEdits& wanted);
 
-// Edits labels and nothing else. When somebody else changed the object
-// meanwhile, the edit is made again on the new version, unless one of the very
-// labels has changed: then both are shown and nothing is overwritten.
-// `version`: the new one, when kOk is returned.
+// Edits only the labels of an object. If the object has changed since it was
+// read, retries on the new version, unless one of the edited labels has
+// changed: then prints both versions, overwrites nothing and returns kConflict.
+// On kOk, `version` is the new version.
 ExitCode EditLabels(const ObjectStore& store, const std::string& kind,
                     const std::string& name, const LabelEdits& edits,
                     uint64_t* version);
--- a/apps/knapctl/src/load_command.cc
+++ b/apps/knapctl/src/load_command.cc
@@ -14,14 +14,14 @@
 #include "load/arrival_plan.h"
 #include "load/load_run.h"
 #include "load/load_summary.h"
-#include "load_words.h"
+#include "load_options.h"
 #include "output.h"
 
 namespace knapweedstile::ctl {
 namespace {
 
-// `WORKSPACE KEY` a line; a file, since the words of a command are seen by all
-// users of the machine.
+// Reads lines of `WORKSPACE KEY`. Keys come from a file because all users of
+// the machine can see the arguments of a command.
 std::map<std::string, std::string> ReadKeys(const std::string& path) {
   std::map<std::string, std::string> keys;
   std::ifstream file(path);
@@ -35,7 +35,7 @@
     const CommandLine& line, const load::LoadMix& mix,
     std::map<std::string, std::string> workspace_keys) {
   load::LoadTargets targets;
-  targets.entries = line.entries;
+  targets.gateways = line.gateways;
   targets.model = mix.model;
   targets.service_path = mix.service_path;
   targets.host = line.host;
@@ -44,65 +44,68 @@
   const size_t calls = plan.size();
   load::LoadRun run(targets, std::move(plan));
   ProgressBar bar("load");
-  return run.Run([&](size_t ended, Duration since_start) {
-    bar.Show(ToSeconds(since_start) / ToSeconds(mix.length),
-             fmt::format("{}/{} answered", ended, calls));
+  return run.Run([&](size_t finished, Duration since_start) {
+    bar.Update(ToSeconds(since_start) / ToSeconds(mix.length),
+               fmt::format("{}/{} finished", finished, calls));
   });
 }
 
 }  // namespace
 
 ExitCode RunLoad(const CommandLine& line) {
-  const ParsedWords parsed = ParseWords(
+  const ParsedArguments parsed = ParseArguments(
       "knapctl load",
-      "Sends online traffic by seed, open loop; latency counts from the "
+      "Sends seeded open-loop online traffic; latency is measured from the "
       "planned arrival.",
-      line.words, [](cxxopts::Options& options) {
+      line.arguments, [](cxxopts::Options& options) {
         AddMixOptions(options);
-        options.add_options()("seconds", "length of the run",
+        options.add_options()("seconds", "length of the run in seconds",
                               cxxopts::value<double>()->default_value("10"))(
-            "batch-items", "items of a batch job submitted at the start",
+            "batch-items",
+            "items of a batch job submitted at the start; 0: none",
             cxxopts::value<uint32_t>()->default_value("0"))(
             "batch-tokens", "max_tokens of an item",
             cxxopts::value<uint32_t>()->default_value("32"))(
             "key-file",
-            "keys of the workspaces workspace-0, workspace-1, ...: a name and "
-            "its key a line",
+            "API keys of workspace-0, workspace-1, ...: a name and its key per "
+            "line",
             cxxopts::value<std::string>()->default_value(""))(
             "out", "write the summary as JSON to this file",
             cxxopts::value<std::string>());
       });
   if (!parsed.result) return parsed.code;
-  const cxxopts::ParseResult& words = *parsed.result;
-  if (line.entries.empty()) {
-    Complain("--entry is missing");
+  const cxxopts::ParseResult& arguments = *parsed.result;
+  if (line.gateways.empty()) {
+    PrintError("--entry is missing");
     return ExitCode::kUsage;
   }
-  load::LoadMix mix = MixOf(words);
-  mix.length = FromSeconds(words["seconds"].as<double>());
+  load::LoadMix mix = ToLoadMix(arguments);
+  mix.length = FromSeconds(arguments["seconds"].as<double>());
   const BatchApi batch(line);
-  JobView job;
-  if (const uint32_t items = words["batch-items"].as<uint32_t>(); items > 0) {
+  JobStatus job;
+  if (const uint32_t items = arguments["batch-items"].as<uint32_t>();
+      items > 0) {
     const std::string key = "load-" + std::to_string(WallClockNanos());
     const ExitCode code = batch.Submit(
-        load::PlanBatchBody(mix, items, words["batch-tokens"].as<uint32_t>(),
-                            mix.seed),
+        load::PlanBatchBody(mix, items,
+                            arguments["batch-tokens"].as<uint32_t>(), mix.seed),
         key, &job);
     if (code != ExitCode::kOk) return code;
   }
   const load::LoadSummary summary = load::Summarize(
-      RunOnline(line, mix, ReadKeys(words["key-file"].as<std::string>())));
+      RunOnline(line, mix, ReadKeys(arguments["key-file"].as<std::string>())));
   fmt::print("{}",
-             line.json ? SummaryJson(summary) + "\n" : ShowSummary(summary));
+             line.json ? SummaryJson(summary) + "\n" : SummaryText(summary));
   if (!job.id.empty() && batch.Status(job.id, &job) == ExitCode::kOk) {
     fmt::print("job={} state={} completed={} failed={} of {}\n", job.id,
                job.state, job.completed, job.failed, job.total);
   }
-  if (words.count("out") != 0) {
-    std::ofstream(words["out"].as<std::string>()) << SummaryJson(summary);
+  if (arguments.count("out") != 0) {
+    std::ofstream(arguments["out"].as<std::string>()) << SummaryJson(summary);
   }
   const bool wrong =
-      summary.ends[static_cast<size_t>(load::CallEnd::kWrong)] > 0;
+      summary.calls_by_result[static_cast<size_t>(load::CallResult::kInvalid)] >
+      0;
   return wrong ? ExitCode::kFailed : ExitCode::kOk;
 }
 
--- a/apps/knapctl/src/load_command.h
+++ b/apps/knapctl/src/load_command.h
@@ -7,7 +7,8 @@
 
 struct CommandLine;
 
-// `load`: open-loop online traffic, with batch jobs beside it when asked.
+// `knapctl load`: sends open-loop online traffic, optionally beside a batch
+// job.
 ExitCode RunLoad(const CommandLine& line);
 
 }  // namespace knapweedstile::ctl
--- a/apps/knapctl/src/log_explanation.cc
+++ b/apps/knapctl/src/log_explanation.cc
@@ -10,8 +10,8 @@
 namespace knapweedstile::ctl {
 namespace {
 
-// Events that change what a gateway believes or can do.
-constexpr std::array<std::string_view, 19> kBeliefs = {
+// Events that change a gateway's state or its view of other processes.
+constexpr std::array<std::string_view, 19> kStateChangeEvents = {
     "store_lost",
     "store_regained",
     "mirror_lost",
@@ -33,26 +33,26 @@
     "commit_postponed"};
 
 std::string_view FieldOf(std::string_view line, std::string_view key) {
-  const std::string wanted = " " + std::string(key) + "=";
-  size_t at = line.starts_with(wanted.substr(1)) ? 0 : line.find(wanted);
+  const std::string pattern = " " + std::string(key) + "=";
+  size_t at = line.starts_with(pattern.substr(1)) ? 0 : line.find(pattern);
   if (at == std::string_view::npos) return {};
   at = line.find('=', at) + 1;
   return line.substr(at, line.find(' ', at) - at);
 }
 
-// Seconds since some day; zero when the line has no time.
+// Seconds since the epoch; zero if the line has no time.
 double TimeOf(std::string_view line) {
   std::istringstream text{std::string(FieldOf(line, "time"))};
-  std::tm parts{};
+  std::tm fields{};
   double fraction = 0;
-  text >> std::get_time(&parts, "%Y-%m-%dT%H:%M:%S") >> fraction;
-  if (parts.tm_year == 0) return 0;
-  return static_cast<double>(::timegm(&parts)) + fraction;
+  text >> std::get_time(&fields, "%Y-%m-%dT%H:%M:%S") >> fraction;
+  if (fields.tm_year == 0) return 0;
+  return static_cast<double>(::timegm(&fields)) + fraction;
 }
 
-// A job of a workspace is logged under its key, which ends with the caller's
-// id.
-bool TellsOf(std::string_view line, std::string_view id) {
+// A batch job is logged under its stored key, which ends with "-" and the id
+// that the caller knows.
+bool Mentions(std::string_view line, std::string_view id) {
   if (FieldOf(line, "job").ends_with("-" + std::string(id))) return true;
   constexpr std::array<std::string_view, 3> kIds = {"request", "item", "job"};
   return std::any_of(kIds.begin(), kIds.end(), [&](std::string_view key) {
@@ -60,53 +60,55 @@
   });
 }
 
-struct Story {
+// Gateways, backend servers and time span of the lines that mention an id.
+struct Scope {
   std::set<std::string, std::less<>> nodes;
   std::set<std::string, std::less<>> servers;
   double first = 0;
   double last = 0;
 };
 
-Story StoryOf(const std::vector<std::string>& lines) {
-  Story story;
+Scope ScopeOf(const std::vector<std::string>& lines) {
+  Scope scope;
   for (const std::string& line : lines) {
-    story.nodes.emplace(FieldOf(line, "node"));
+    scope.nodes.emplace(FieldOf(line, "node"));
     const std::string_view server = FieldOf(line, "server");
-    if (!server.empty() && server != "-") story.servers.emplace(server);
+    if (!server.empty() && server != "-") scope.servers.emplace(server);
     const double at = TimeOf(line);
-    story.first = story.first == 0 ? at : std::min(story.first, at);
-    story.last = std::max(story.last, at);
+    scope.first = scope.first == 0 ? at : std::min(scope.first, at);
+    scope.last = std::max(scope.last, at);
   }
-  return story;
+  return scope;
 }
 
-bool Belongs(std::string_view line, const Story& story, double seconds) {
+bool IsRelated(std::string_view line, const Scope& scope, double seconds) {
   const double at = TimeOf(line);
-  if (at < story.first - seconds || at > story.last + seconds) return false;
+  if (at < scope.first - seconds || at > scope.last + seconds) return false;
   const std::string_view event = FieldOf(line, "event");
-  const bool belief =
-      std::find(kBeliefs.begin(), kBeliefs.end(), event) != kBeliefs.end();
-  if (belief) return story.nodes.contains(FieldOf(line, "node"));
-  // What else broke at the same servers, at any gateway.
+  const bool state_change =
+      std::find(kStateChangeEvents.begin(), kStateChangeEvents.end(), event) !=
+      kStateChangeEvents.end();
+  if (state_change) return scope.nodes.contains(FieldOf(line, "node"));
+  // Other failures of the same backend servers, at any gateway.
   return (event == "attempt_broken" || event == "server_unreachable") &&
-         story.servers.contains(FieldOf(line, "server"));
+         scope.servers.contains(FieldOf(line, "server"));
 }
 
 }  // namespace
 
 std::vector<std::string> Explain(const std::vector<std::string>& logs,
                                  std::string_view id, double seconds) {
-  std::vector<std::string> told;
+  std::vector<std::string> mentions;
   for (const std::string& line : logs) {
-    if (TellsOf(line, id)) told.push_back(line);
+    if (Mentions(line, id)) mentions.push_back(line);
   }
-  if (told.empty()) return {};
-  const Story story = StoryOf(told);
+  if (mentions.empty()) return {};
+  const Scope scope = ScopeOf(mentions);
   std::vector<std::string> lines;
   for (const std::string& line : logs) {
-    if (TellsOf(line, id)) {
+    if (Mentions(line, id)) {
       lines.push_back("* " + line);
-    } else if (Belongs(line, story, seconds)) {
+    } else if (IsRelated(line, scope, seconds)) {
       lines.push_back("  " + line);
     }
   }
--- a/apps/knapctl/src/log_explanation.h
+++ b/apps/knapctl/src/log_explanation.h
@@ -7,11 +7,12 @@
 
 namespace knapweedstile::ctl {
 
-// The lines of `logs` that tell of the request, item or job `id`, and those
-// that tell what changed at its gateways and its backend servers in the
-// `seconds` before and after, by time. Empty when nothing tells of it.
+// Returns the lines of `logs` that mention the request, item or job `id`
+// (prefixed by "* ") and the state changes of its gateways and backend servers
+// from `seconds` before to `seconds` after them, sorted by time. Empty if no
+// line mentions the id.
 //
-// Clocks of VMs differ: lines of other gateways are placed by their own clocks.
+// Each line is placed by the clock of the VM that wrote it; clocks may differ.
 std::vector<std::string> Explain(const std::vector<std::string>& logs,
                                  std::string_view id, double seconds);
 
--- a/apps/knapctl/src/main.cc
+++ b/apps/knapctl/src/main.cc
@@ -18,7 +18,7 @@
 #include "timeline_command.h"
 #include "workspaces_command.h"
 
-// The operators' and callers' command line.
+// Command-line client for operators and callers.
 namespace knapweedstile::ctl {
 namespace {
 
@@ -31,39 +31,42 @@
 constexpr std::array<Command, 11> kCommands = {
     {{"apply", RunApply, "create or change objects from a file"},
      {"get", RunGet, "show objects"},
-     {"label", RunLabel, "set and take off labels, also by selector"},
+     {"label", RunLabel, "set and remove labels, optionally by selector"},
      {"delete", RunDelete, "delete an object"},
-     {"status", RunStatus, "what is in force where, and who is in"},
-     {"workspaces", RunWorkspaces, "limits and use of workspaces"},
-     {"job", RunJob, "submit, follow, read and cancel batch jobs"},
-     {"timeline", RunTimeline, "merge the processes' time lines"},
-     {"explain", RunExplain, "from a request's id to its cause, by logs"},
-     {"load", RunLoad, "send traffic and measure what callers receive"},
+     {"status", RunStatus,
+      "show active configurations, gateways and backend servers"},
+     {"workspaces", RunWorkspaces, "show limits and usage of workspaces"},
+     {"job", RunJob, "submit, poll, read and cancel batch jobs"},
+     {"timeline", RunTimeline, "merge the timelines of several processes"},
+     {"explain", RunExplain,
+      "show log lines and state changes around a request"},
+     {"load", RunLoad, "send traffic and measure responses and latencies"},
      {"compare", RunCompare, "compare two serving policies on one fleet"}}};
 
 constexpr std::string_view kFlags =
-    "  --platform IP:PORT   any gateway's operators' address "
+    "  --platform IP:PORT   admin address of any gateway "
     "(KNAP_PLATFORM)\n"
-    "  --entry IP:PORT      an entry's callers' address, repeatable "
+    "  --entry IP:PORT      callers' address of a gateway, repeatable "
     "(KNAP_ENTRIES)\n"
-    "  --admin IP:PORT      a process's operators' address, repeatable "
+    "  --admin IP:PORT      admin address of a process, repeatable "
     "(KNAP_ADMINS)\n"
-    "  --host NAME          host of the routes asked for (KNAP_HOST)\n"
+    "  --host NAME          host of the requested routes (KNAP_HOST)\n"
     "  --workspace NAME     the workspace to act for\n"
-    "  (KNAP_API_KEY)       its key, sent with each call; never a flag, which "
-    "other users would see\n"
-    "  -o json|text         the form of the output\n"
-    "  --help               after a command: its own words\n";
+    "  (KNAP_API_KEY)       its key, sent with each request; not a flag, so "
+    "that other users cannot see it\n"
+    "  -o json|text         output format\n"
+    "  --help               after a command: its arguments and flags\n";
 
 void PrintUsage() {
-  fmt::print("usage: knapctl COMMAND [FLAGS] [WORDS]\n\n");
+  fmt::print("usage: knapctl COMMAND [FLAGS] [ARGUMENTS]\n\n");
   for (const Command& command : kCommands) {
     fmt::print("  {:<10} {}\n", command.name, command.summary);
   }
   fmt::print("\n{}", kFlags);
   fmt::print(
-      "\nExit codes: 0 done, 1 refused or failed, 2 usage, 3 conflict with "
-      "somebody else's change,\n4 not found, 5 unavailable, 6 not valid.\n");
+      "\nExit codes: 0 success, 1 rejected or failed, 2 usage, 3 conflict with "
+      "a concurrent "
+      "change,\n4 not found, 5 unavailable, 6 invalid.\n");
 }
 
 std::vector<std::string> SplitByComma(const char* text) {
@@ -78,19 +81,20 @@
   return parts;
 }
 
-// The value of a flag in the form `--name VALUE` or `--name=VALUE`; moves `at`
-// past it. Null when the word at `at` is another.
-const char* TakeFlag(std::string_view name, char** argv, int argc, int* at) {
-  const std::string_view word(argv[*at]);
-  if (word == name && *at + 1 < argc) return argv[++*at];
-  if (word.size() > name.size() && word.starts_with(name) &&
-      word[name.size()] == '=') {
+// Returns the value of the flag `name` at argv[*at], given as `--name VALUE` or
+// `--name=VALUE`, and advances `at` to the flag's last argument. Returns null
+// if argv[*at] is anything else.
+const char* MatchFlag(std::string_view name, char** argv, int argc, int* at) {
+  const std::string_view argument(argv[*at]);
+  if (argument == name && *at + 1 < argc) return argv[++*at];
+  if (argument.size() > name.size() && argument.starts_with(name) &&
+      argument[name.size()] == '=') {
     return argv[*at] + name.size() + 1;
   }
   return nullptr;
 }
 
-CommandLine ParseLine(int argc, char** argv) {
+CommandLine ParseCommandLine(int argc, char** argv) {
   CommandLine line;
   if (const char* platform = std::getenv("KNAP_PLATFORM")) {
     line.platform = platform;
@@ -98,24 +102,24 @@
   if (const char* host = std::getenv("KNAP_HOST")) line.host = host;
   if (const char* key = std::getenv("KNAP_API_KEY")) line.api_key = key;
   for (int i = 1; i < argc; ++i) {
-    if (const char* platform = TakeFlag("--platform", argv, argc, &i)) {
+    if (const char* platform = MatchFlag("--platform", argv, argc, &i)) {
       line.platform = platform;
-    } else if (const char* entry = TakeFlag("--entry", argv, argc, &i)) {
-      line.entries.emplace_back(entry);
-    } else if (const char* admin = TakeFlag("--admin", argv, argc, &i)) {
+    } else if (const char* gateway = MatchFlag("--entry", argv, argc, &i)) {
+      line.gateways.emplace_back(gateway);
+    } else if (const char* admin = MatchFlag("--admin", argv, argc, &i)) {
       line.admins.emplace_back(admin);
-    } else if (const char* name = TakeFlag("--workspace", argv, argc, &i)) {
+    } else if (const char* name = MatchFlag("--workspace", argv, argc, &i)) {
       line.workspace = name;
-    } else if (const char* host = TakeFlag("--host", argv, argc, &i)) {
+    } else if (const char* host = MatchFlag("--host", argv, argc, &i)) {
       line.host = host;
-    } else if (const char* form = TakeFlag("-o", argv, argc, &i)) {
-      line.json = std::string_view(form) == "json";
+    } else if (const char* format = MatchFlag("-o", argv, argc, &i)) {
+      line.json = std::string_view(format) == "json";
     } else {
-      line.words.emplace_back(argv[i]);
+      line.arguments.emplace_back(argv[i]);
     }
   }
-  if (line.entries.empty()) {
-    line.entries = SplitByComma(std::getenv("KNAP_ENTRIES"));
+  if (line.gateways.empty()) {
+    line.gateways = SplitByComma(std::getenv("KNAP_ENTRIES"));
   }
   if (line.admins.empty()) {
     line.admins = SplitByComma(std::getenv("KNAP_ADMINS"));
@@ -124,17 +128,18 @@
 }
 
 int Main(int argc, char** argv) {
-  CommandLine line = ParseLine(argc, argv);
-  const std::string name = line.words.empty() ? "--help" : line.words.front();
+  CommandLine line = ParseCommandLine(argc, argv);
+  const std::string name =
+      line.arguments.empty() ? "--help" : line.arguments.front();
   if (name == "--help" || name == "help") {
     PrintUsage();
     return static_cast<int>(ExitCode::kOk);
   }
-  line.words.erase(line.words.begin());
+  line.arguments.erase(line.arguments.begin());
   for (const Command& command : kCommands) {
     if (command.name == name) return static_cast<int>(command.run(line));
   }
-  Complain(fmt::format("no such command: {}; see knapctl --help", name));
+  PrintError(fmt::format("unknown command '{}'; see knapctl --help", name));
   return static_cast<int>(ExitCode::kUsage);
 }
 
--- a/apps/knapctl/src/merged_timeline.cc
+++ b/apps/knapctl/src/merged_timeline.cc
@@ -19,7 +19,7 @@
 
 namespace json = boost::json;
 
-constexpr int kClockReads = 5;
+constexpr int kClockSamples = 5;
 constexpr int64_t kNanosPerMicro = 1000;
 constexpr double kNanosPerMilli = 1e6;
 
@@ -44,23 +44,23 @@
   return page;
 }
 
-int64_t IntAt(const json::object& object, const char* name) {
+int64_t IntField(const json::object& object, const char* name) {
   const json::value* value = object.if_contains(name);
   return value != nullptr && value->is_int64() ? value->get_int64() : 0;
 }
 
-std::string TextAt(const json::object& object, const char* name) {
+std::string StringField(const json::object& object, const char* name) {
   const json::value* value = object.if_contains(name);
   return value != nullptr && value->is_string()
              ? std::string(value->get_string())
              : std::string();
 }
 
-// Lanes for the spans of one process: a span takes the first lane that is free
-// when it begins, so that spans which overlap stand side by side.
-class Lanes {
+// Assigns the spans of one process to lanes: a span gets the first lane that is
+// free when it begins, so that overlapping spans are drawn in different lanes.
+class LaneAllocator {
  public:
-  size_t Take(int64_t begin, int64_t end) {
+  size_t Assign(int64_t begin, int64_t end) {
     for (size_t lane = 0; lane < free_at_.size(); ++lane) {
       if (free_at_[lane] <= begin) {
         free_at_[lane] = end;
@@ -83,7 +83,7 @@
 
 using SpanKey = std::pair<size_t, std::string>;  // process, request
 
-std::map<SpanKey, Span> SpansOf(const std::vector<MergedEvent>& events) {
+std::map<SpanKey, Span> ComputeSpans(const std::vector<MergedEvent>& events) {
   std::map<SpanKey, Span> spans;
   for (const MergedEvent& event : events) {
     if (event.request.empty()) continue;
@@ -98,10 +98,10 @@
   }
   std::sort(by_begin.begin(), by_begin.end(),
             [](auto a, auto b) { return a->second.begin < b->second.begin; });
-  std::map<size_t, Lanes> lanes;
+  std::map<size_t, LaneAllocator> lanes;
   for (auto span : by_begin) {
     span->second.lane =
-        lanes[span->first.first].Take(span->second.begin, span->second.end);
+        lanes[span->first.first].Assign(span->second.begin, span->second.end);
   }
   return spans;
 }
@@ -120,16 +120,17 @@
 bool MergedTimeline::AddProcess(const std::string& admin) {
   Process process;
   process.uncertainty_nanos = INT64_MAX;
-  for (int i = 0; i < kClockReads; ++i) {
-    // Far beyond any sequence: the head alone.
+  for (int i = 0; i < kClockSamples; ++i) {
+    // `after` is beyond every sequence number, so no events are returned.
     const auto page = Fetch(admin, INT64_MAX);
     if (!page) return false;
-    const int64_t half = (page->received_nanos - page->sent_nanos) / 2;
-    if (half >= process.uncertainty_nanos) continue;
-    process.uncertainty_nanos = half;
-    process.offset_nanos =
-        IntAt(page->fields, "wall_clock_nanos") - page->sent_nanos - half;
-    process.node = TextAt(page->fields, "node");
+    const int64_t half_round_trip =
+        (page->received_nanos - page->sent_nanos) / 2;
+    if (half_round_trip >= process.uncertainty_nanos) continue;
+    process.uncertainty_nanos = half_round_trip;
+    process.offset_nanos = IntField(page->fields, "wall_clock_nanos") -
+                           page->sent_nanos - half_round_trip;
+    process.node = StringField(page->fields, "node");
   }
   uint64_t after = 0;
   for (;;) {
@@ -137,14 +138,15 @@
     if (!page) return false;
     const json::value* list = page->fields.if_contains("events");
     if (list == nullptr || list->get_array().empty()) break;
-    for (const json::value& entry : list->get_array()) {
-      const json::object& fields = entry.get_object();
+    for (const json::value& element : list->get_array()) {
+      const json::object& fields = element.get_object();
       const json::value* args = fields.if_contains("args");
-      events_.push_back({IntAt(fields, "t") - process.offset_nanos,
-                         IntAt(fields, "dur"), processes_.size(),
-                         TextAt(fields, "name"), TextAt(fields, "request"),
+      events_.push_back({IntField(fields, "t") - process.offset_nanos,
+                         IntField(fields, "dur"), processes_.size(),
+                         StringField(fields, "name"),
+                         StringField(fields, "request"),
                          args == nullptr ? "{}" : json::serialize(*args)});
-      after = static_cast<uint64_t>(IntAt(fields, "seq"));
+      after = static_cast<uint64_t>(IntField(fields, "seq"));
     }
   }
   processes_.push_back(std::move(process));
@@ -176,12 +178,13 @@
     name["args"] = json::object{{"name", processes_[i].node}};
     trace.push_back(std::move(name));
   }
-  const std::map<SpanKey, Span> spans = SpansOf(events_);
+  const std::map<SpanKey, Span> spans = ComputeSpans(events_);
   for (const auto& [key, span] : spans) {
-    json::object whole =
+    json::object request_event =
         TraceEvent(key.second, "X", span.begin, key.first, span.lane);
-    whole["dur"] = static_cast<double>(span.end - span.begin) / kNanosPerMicro;
-    trace.push_back(std::move(whole));
+    request_event["dur"] =
+        static_cast<double>(span.end - span.begin) / kNanosPerMicro;
+    trace.push_back(std::move(request_event));
   }
   for (const MergedEvent& event : events_) {
     const auto span = spans.find({event.process, event.request});
@@ -201,7 +204,7 @@
       json::object{{"displayTimeUnit", "ms"}, {"traceEvents", trace}});
 }
 
-std::string MergedTimeline::TextOf(const std::string& request) const {
+std::string MergedTimeline::RequestText(const std::string& request) const {
   std::string text;
   std::optional<int64_t> first;
   for (const MergedEvent& event : events_) {
--- a/apps/knapctl/src/merged_timeline.h
+++ b/apps/knapctl/src/merged_timeline.h
@@ -9,29 +9,31 @@
 
 namespace knapweedstile::ctl {
 
-// The time lines of several processes on one clock, this program's.
+// Merges the timelines of several processes on the clock of this program.
 class MergedTimeline {
  public:
-  // Reads one process's time line whole. Its clock's offset is taken from the
-  // read with the shortest round trip: the process's clock was read somewhere
-  // inside that trip, so the offset is right within half of it. False when it
-  // does not answer.
+  // Reads the full timeline of one process. The clock offset is estimated from
+  // the request with the shortest round trip: the process read its clock within
+  // that round trip, so the error is at most half of it. Returns false if the
+  // process does not respond.
   bool AddProcess(const std::string& admin);
-  // Call once all have been added.
+  // Orders the events by time. Call once after the last AddProcess.
   void Sort();
 
   const std::vector<MergedEvent>& events() const noexcept { return events_; }
-  // What is known of each process: name, offset and its uncertainty.
+  // One line per process: name, clock offset and its uncertainty.
   std::string ClockReport() const;
-  // Chrome trace JSON: a process a node, a lane a request.
+  // Chrome trace JSON with one process per node and one thread per lane of
+  // non-overlapping requests.
   std::string ChromeTrace() const;
-  // What happened to one request or item, a line an event.
-  std::string TextOf(const std::string& request) const;
+  // The events of one request or item as text, one line each; empty if there
+  // are none.
+  std::string RequestText(const std::string& request) const;
 
  private:
   struct Process {
     std::string node;
-    int64_t offset_nanos = 0;  // its clock minus ours
+    int64_t offset_nanos = 0;  // process clock minus own clock
     int64_t uncertainty_nanos = 0;
   };
 
--- a/apps/knapctl/src/node_pages.cc
+++ b/apps/knapctl/src/node_pages.cc
@@ -22,9 +22,9 @@
     boost::system::error_code error;
     boost::json::value value = boost::json::parse(end.body, error);
     if (!error && value.is_object()) {
-      page.page = std::move(value.get_object());
+      page.fields = std::move(value.get_object());
     } else {
-      Complain(admin + " does not answer: " + end.message);
+      PrintError(admin + " does not respond: " + end.message);
     }
     pages.push_back(std::move(page));
   }
--- a/apps/knapctl/src/node_pages.h
+++ b/apps/knapctl/src/node_pages.h
@@ -7,13 +7,14 @@
 
 namespace knapweedstile::ctl {
 
-// One process's JSON page; empty when it does not answer.
+// JSON page of one process; `fields` is empty if the process does not respond.
 struct NodePage {
   std::string address;
-  boost::json::object page;
+  boost::json::object fields;
 };
 
-// The page at `target` of each of the operators' addresses.
+// Fetches the page at `target` from each admin address, in their order. Prints
+// an error for each process that does not respond.
 std::vector<NodePage> FetchPages(const std::vector<std::string>& admins,
                                  const std::string& target);
 
--- a/apps/knapctl/src/object_commands.cc
+++ b/apps/knapctl/src/object_commands.cc
@@ -9,12 +9,12 @@
 #include <string>
 #include <vector>
 
+#include "arguments.h"
 #include "command_line.h"
 #include "label_edit.h"
 #include "object_document.h"
 #include "object_store.h"
 #include "output.h"
-#include "words.h"
 
 namespace knapweedstile::ctl {
 namespace {
@@ -27,101 +27,101 @@
   return {std::istreambuf_iterator<char>(stream), {}};
 }
 
-void ShowConflict(const ObjectDocument& document, const ObjectAnswer& present) {
-  Complain(fmt::format(
-      "{}/{}: was changed by somebody else; nothing was overwritten\n"
-      "present: {}\nyours:   {}\n"
-      "Take the present version into your file, or apply with its version.",
+void PrintConflict(const ObjectDocument& document,
+                   const ObjectResponse& current) {
+  PrintError(fmt::format(
+      "{}/{}: has changed since it was read; nothing was overwritten\n"
+      "current: {}\nyours:   {}\n"
+      "Merge the current version into your file, or apply with its version.",
       document.kind, document.name,
-      RenderDocument(document.kind, document.name, present.version,
-                     present.value),
+      RenderDocument(document.kind, document.name, current.version,
+                     current.value),
       RenderDocument(document.kind, document.name, document.version.value_or(0),
                      document.value)));
 }
 
 ExitCode ApplyOne(const ObjectStore& store, const ObjectDocument& document) {
-  const ObjectAnswer present = store.Read(document.kind, document.name);
-  if (present.code == ExitCode::kUnavailable) {
-    Complain("platform: " + present.message);
-    return present.code;
+  const ObjectResponse current = store.Read(document.kind, document.name);
+  if (current.code == ExitCode::kUnavailable) {
+    PrintError("platform: " + current.message);
+    return current.code;
   }
-  if (present.code == ExitCode::kOk && present.value == document.value) {
+  if (current.code == ExitCode::kOk && current.value == document.value) {
     fmt::print("{}/{} unchanged version={}\n", document.kind, document.name,
-               present.version);
+               current.version);
     return ExitCode::kOk;
   }
-  const ObjectAnswer written =
+  const ObjectResponse write =
       store.Write(document.kind, document.name, document.version.value_or(0),
                   document.value);
-  if (written.code == ExitCode::kConflict) {
-    ShowConflict(document, store.Read(document.kind, document.name));
-  } else if (written.code != ExitCode::kOk) {
-    Complain(fmt::format("{}/{}: {}", document.kind, document.name,
-                         written.message));
+  if (write.code == ExitCode::kConflict) {
+    PrintConflict(document, store.Read(document.kind, document.name));
+  } else if (write.code != ExitCode::kOk) {
+    PrintError(
+        fmt::format("{}/{}: {}", document.kind, document.name, write.message));
   } else {
     fmt::print("{}/{} applied version={}\n", document.kind, document.name,
-               written.version);
+               write.version);
   }
-  return written.code;
+  return write.code;
 }
 
 }  // namespace
 
 ExitCode RunApply(const CommandLine& line) {
-  const ParsedWords parsed = ParseWords(
+  const ParsedArguments parsed = ParseArguments(
       "knapctl apply",
       "Creates or changes objects from a JSON file. A file without \"version\" "
       "creates; with it, it changes that version only.",
-      line.words, [](cxxopts::Options& options) {
+      line.arguments, [](cxxopts::Options& options) {
         options.add_options()("f,file", "file, or - for standard input",
                               cxxopts::value<std::string>());
       });
   if (!parsed.result) return parsed.code;
-  const cxxopts::ParseResult& words = *parsed.result;
-  if (words.count("file") == 0) return ExitCode::kUsage;
-  std::vector<std::string> complaints;
+  const cxxopts::ParseResult& arguments = *parsed.result;
+  if (arguments.count("file") == 0) return ExitCode::kUsage;
+  std::vector<std::string> errors;
   const auto documents =
-      ParseDocuments(ReadText(words["file"].as<std::string>()), &complaints);
-  // All are checked before any is written.
+      ParseDocuments(ReadText(arguments["file"].as<std::string>()), &errors);
+  // All documents are validated before any is written.
   for (const ObjectDocument& document : documents) {
-    for (const std::string& complaint : Validate(document)) {
-      complaints.push_back(document.kind + "/" + document.name + ": " +
-                           complaint);
+    for (const std::string& error : Validate(document)) {
+      errors.push_back(document.kind + "/" + document.name + ": " + error);
     }
   }
-  for (const std::string& complaint : complaints) Complain(complaint);
-  if (!complaints.empty()) return ExitCode::kInvalid;
+  for (const std::string& error : errors) PrintError(error);
+  if (!errors.empty()) return ExitCode::kInvalid;
   const ObjectStore store(line.platform);
-  ExitCode worst = ExitCode::kOk;
+  ExitCode result = ExitCode::kOk;
   for (const ObjectDocument& document : documents) {
     const ExitCode code = ApplyOne(store, document);
-    if (code != ExitCode::kOk) worst = code;
+    if (code != ExitCode::kOk) result = code;
   }
-  return worst;
+  return result;
 }
 
 ExitCode RunGet(const CommandLine& line) {
-  const ParsedWords parsed =
-      ParseWords("knapctl get",
-                 "KIND [NAME]: shows objects; -o json gives what apply takes.",
-                 line.words, [](cxxopts::Options&) {});
+  const ParsedArguments parsed = ParseArguments(
+      "knapctl get",
+      "KIND [NAME]: shows objects; -o json prints the input format of apply.",
+      line.arguments, [](cxxopts::Options&) {});
   if (!parsed.result) return parsed.code;
-  const std::vector<std::string>& free = parsed.result->unmatched();
-  if (free.empty()) return ExitCode::kUsage;
-  const std::string& kind = free[0];
+  const std::vector<std::string>& positional = parsed.result->unmatched();
+  if (positional.empty()) return ExitCode::kUsage;
+  const std::string& kind = positional[0];
   const ObjectStore store(line.platform);
   std::vector<ListedObject> objects;
-  if (free.size() > 1) {
-    const std::string& name = free[1];
-    const ObjectAnswer answer = store.Read(kind, name);
-    if (answer.code != ExitCode::kOk) {
-      Complain(fmt::format("{}/{}: {}", kind, name, answer.message));
-      return answer.code;
+  if (positional.size() > 1) {
+    const std::string& name = positional[1];
+    const ObjectResponse response = store.Read(kind, name);
+    if (response.code != ExitCode::kOk) {
+      PrintError(fmt::format("{}/{}: {}", kind, name, response.message));
+      return response.code;
     }
-    objects.push_back({name, answer.version, answer.value});
+    objects.push_back({name, response.version, response.value});
   } else if (const ExitCode code = store.List(kind, &objects);
              code != ExitCode::kOk) {
-    Complain("the platform does not answer");
+    PrintError("the objects API at --platform does not respond");
     return code;
   }
   if (line.json) {
@@ -134,9 +134,9 @@
     return ExitCode::kOk;
   }
   TextTable table;
-  table.Add({"KIND", "NAME", "VERSION", "VALUE"});
+  table.AddRow({"KIND", "NAME", "VERSION", "VALUE"});
   for (const ListedObject& object : objects) {
-    table.Add(
+    table.AddRow(
         {kind, object.name, std::to_string(object.version), object.value});
   }
   fmt::print("{}", table.Render());
@@ -158,72 +158,72 @@
 }  // namespace
 
 ExitCode RunLabel(const CommandLine& line) {
-  const ParsedWords parsed = ParseWords(
+  const ParsedArguments parsed = ParseArguments(
       "knapctl label",
-      "KIND NAME K=V... K-...: sets and takes off labels.\n"
-      "KIND --select K=V,... K=V...: the same on every object that carries the "
+      "KIND NAME K=V... K-...: sets and removes labels.\n"
+      "KIND --select K=V,... K=V...: the same on every object that has the "
       "selected labels.",
-      line.words, [](cxxopts::Options& options) {
+      line.arguments, [](cxxopts::Options& options) {
         options.add_options()("select", "labels to select by",
                               cxxopts::value<std::vector<std::string>>());
       });
   if (!parsed.result) return parsed.code;
-  const cxxopts::ParseResult& words = *parsed.result;
-  const std::vector<std::string>& free = words.unmatched();
-  if (free.size() < 2) return ExitCode::kUsage;
-  const std::string& kind = free[0];
-  const bool select = words.count("select") != 0;
-  const auto first_edit = free.begin() + (select ? 1 : 2);
-  const auto edits = ParseLabelEdits({first_edit, free.end()});
+  const cxxopts::ParseResult& arguments = *parsed.result;
+  const std::vector<std::string>& positional = arguments.unmatched();
+  if (positional.size() < 2) return ExitCode::kUsage;
+  const std::string& kind = positional[0];
+  const bool by_selector = arguments.count("select") != 0;
+  const auto first_edit = positional.begin() + (by_selector ? 1 : 2);
+  const auto edits = ParseLabelEdits({first_edit, positional.end()});
   if (!edits || edits->empty()) return ExitCode::kUsage;
   const ObjectStore store(line.platform);
-  if (!select) return LabelOne(store, kind, free[1], *edits);
+  if (!by_selector) return LabelOne(store, kind, positional[1], *edits);
 
-  const auto wanted =
-      ParseLabelEdits(words["select"].as<std::vector<std::string>>());
-  if (!wanted) return ExitCode::kUsage;
+  const auto selector =
+      ParseLabelEdits(arguments["select"].as<std::vector<std::string>>());
+  if (!selector) return ExitCode::kUsage;
   std::vector<ListedObject> objects;
   if (const ExitCode code = store.List(kind, &objects); code != ExitCode::kOk) {
     return code;
   }
-  ExitCode worst = ExitCode::kOk;
+  ExitCode result = ExitCode::kOk;
   for (const ListedObject& object : objects) {
-    if (!HasLabels(object.value, *wanted)) continue;
+    if (!HasLabels(object.value, *selector)) continue;
     const ExitCode code = LabelOne(store, kind, object.name, *edits);
-    if (code != ExitCode::kOk) worst = code;
+    if (code != ExitCode::kOk) result = code;
   }
-  return worst;
+  return result;
 }
 
 ExitCode RunDelete(const CommandLine& line) {
-  const ParsedWords parsed =
-      ParseWords("knapctl delete", "KIND NAME: deletes an object.", line.words,
-                 [](cxxopts::Options& options) {
-                   options.add_options()("if-version", "only this version",
-                                         cxxopts::value<uint64_t>());
-                 });
+  const ParsedArguments parsed = ParseArguments(
+      "knapctl delete", "KIND NAME: deletes an object.", line.arguments,
+      [](cxxopts::Options& options) {
+        options.add_options()("if-version", "delete only this version",
+                              cxxopts::value<uint64_t>());
+      });
   if (!parsed.result) return parsed.code;
-  const cxxopts::ParseResult& words = *parsed.result;
-  if (words.unmatched().size() != 2) return ExitCode::kUsage;
-  const std::string& kind = words.unmatched()[0];
-  const std::string& name = words.unmatched()[1];
+  const cxxopts::ParseResult& arguments = *parsed.result;
+  if (arguments.unmatched().size() != 2) return ExitCode::kUsage;
+  const std::string& kind = arguments.unmatched()[0];
+  const std::string& name = arguments.unmatched()[1];
   const ObjectStore store(line.platform);
-  const ObjectAnswer present = store.Read(kind, name);
-  if (present.code != ExitCode::kOk) {
-    Complain(fmt::format("{}/{}: {}", kind, name, present.message));
-    return present.code;
+  const ObjectResponse current = store.Read(kind, name);
+  if (current.code != ExitCode::kOk) {
+    PrintError(fmt::format("{}/{}: {}", kind, name, current.message));
+    return current.code;
   }
-  const uint64_t version = words.count("if-version") != 0
-                               ? words["if-version"].as<uint64_t>()
-                               : present.version;
-  const ObjectAnswer deleted = store.Delete(kind, name, version);
-  if (deleted.code == ExitCode::kOk) {
+  const uint64_t version = arguments.count("if-version") != 0
+                               ? arguments["if-version"].as<uint64_t>()
+                               : current.version;
+  const ObjectResponse deletion = store.Delete(kind, name, version);
+  if (deletion.code == ExitCode::kOk) {
     fmt::print("{}/{} deleted version={}\n", kind, name, version);
   } else {
-    Complain(fmt::format("{}/{}: {}; present version {}", kind, name,
-                         deleted.message, present.version));
+    PrintError(fmt::format("{}/{}: {}; current version {}", kind, name,
+                           deletion.message, current.version));
   }
-  return deleted.code;
+  return deletion.code;
 }
 
 }  // namespace knapweedstile::ctl
--- a/apps/knapctl/src/object_commands.h
+++ b/apps/knapctl/src/object_commands.h
@@ -7,7 +7,7 @@
 
 struct CommandLine;
 
-// Each takes the words after its own name.
+// `knapctl apply|get|label|delete`: each reads the arguments after its name.
 ExitCode RunApply(const CommandLine& line);
 ExitCode RunGet(const CommandLine& line);
 ExitCode RunLabel(const CommandLine& line);
--- a/apps/knapctl/src/object_document.cc
+++ b/apps/knapctl/src/object_document.cc
@@ -13,10 +13,10 @@
 namespace json = boost::json;
 
 std::optional<ObjectDocument> ParseOne(const json::value& value,
-                                       std::vector<std::string>* complaints) {
+                                       std::vector<std::string>* errors) {
   const json::object* fields = value.if_object();
   if (fields == nullptr) {
-    complaints->push_back("a document is not an object");
+    errors->push_back("a document must be a JSON object");
     return std::nullopt;
   }
   ObjectDocument document;
@@ -32,13 +32,13 @@
     } else if (key == "labels" || key == "spec") {
       stored[key] = field.value();
     } else {
-      complaints->push_back(std::string(key) +
-                            ": not allowed here; allowed: kind, name, version "
-                            "(whole number), labels, spec");
+      errors->push_back(std::string(key) +
+                        ": not allowed; allowed: kind, name, version "
+                        "(integer), labels, spec");
     }
   }
   if (document.kind.empty() || document.name.empty()) {
-    complaints->push_back("kind and name must be texts that are not empty");
+    errors->push_back("kind and name must be non-empty strings");
   }
   if (!stored.contains("labels")) stored["labels"] = json::object();
   document.value = json::serialize(stored);
@@ -47,44 +47,45 @@
 
 }  // namespace
 
-std::vector<ObjectDocument> ParseDocuments(
-    std::string_view text, std::vector<std::string>* complaints) {
+std::vector<ObjectDocument> ParseDocuments(std::string_view text,
+                                           std::vector<std::string>* errors) {
   boost::system::error_code error;
   const json::value value =
       json::parse(json::string_view(text.data(), text.size()), error);
   if (error) {
-    complaints->push_back("not JSON: " + error.message());
+    errors->push_back("invalid JSON: " + error.message());
     return {};
   }
   std::vector<ObjectDocument> documents;
-  const auto take = [&](const json::value& one) {
-    if (auto document = ParseOne(one, complaints)) {
+  const auto append = [&](const json::value& element) {
+    if (auto document = ParseOne(element, errors)) {
       documents.push_back(std::move(*document));
     }
   };
   if (const json::array* list = value.if_array()) {
-    for (const json::value& one : *list) take(one);
+    for (const json::value& element : *list) append(element);
   } else {
-    take(value);
+    append(value);
   }
   return documents;
 }
 
 std::vector<std::string> Validate(const ObjectDocument& document) {
-  // The same check as every node's, so what passes here is accepted there.
+  // The same validation as in every gateway, so that a document that passes
+  // here is accepted there.
   objects::Catalog catalog;
   const objects::ApplyResult result =
       catalog.Apply(document.kind, document.name, 1, document.value, false);
-  std::vector<std::string> complaints;
+  std::vector<std::string> errors;
   if (result.outcome == objects::ApplyOutcome::kIgnored) {
-    complaints.push_back("kind: " + document.kind +
-                         " is not allowed; allowed: policy, placement, engine, "
-                         "service, workspace");
+    errors.push_back("kind: " + document.kind +
+                     " is not allowed; allowed: policy, placement, engine, "
+                     "service, workspace");
   }
   if (!result.errors.empty()) {
-    complaints.push_back(objects::Describe(result.errors));
+    errors.push_back(objects::Describe(result.errors));
   }
-  return complaints;
+  return errors;
 }
 
 std::string RenderDocument(const std::string& kind, const std::string& name,
--- a/apps/knapctl/src/object_document.h
+++ b/apps/knapctl/src/object_document.h
@@ -9,9 +9,9 @@
 
 namespace knapweedstile::ctl {
 
-// An object as operators write it to a file and read it from `get -o json`:
+// An object in the format of files and of `get -o json`:
 // {"kind", "name", "version", "labels", "spec"}. The version is the one that
-// was read; an edit is refused when it has moved on.
+// was read; a write is rejected if the stored version differs.
 struct ObjectDocument {
   std::string kind;
   std::string name;
@@ -19,13 +19,15 @@
   std::string value;  // as stored: {"labels","spec"}
 };
 
-// One document, or a list of them. Complaints name what is wrong.
-std::vector<ObjectDocument> ParseDocuments(
-    std::string_view text, std::vector<std::string>* complaints);
+// Parses one document or an array of documents. Appends a message to `errors`
+// for each error.
+std::vector<ObjectDocument> ParseDocuments(std::string_view text,
+                                           std::vector<std::string>* errors);
 
-// Why the value is not valid for its kind; empty when it is.
+// Returns the errors of the value for its kind; empty if it is valid.
 std::vector<std::string> Validate(const ObjectDocument& document);
 
+// Formats a stored object as a document.
 std::string RenderDocument(const std::string& kind, const std::string& name,
                            uint64_t version, const std::string& value);
 
--- a/apps/knapctl/src/object_store.cc
+++ b/apps/knapctl/src/object_store.cc
@@ -22,14 +22,14 @@
   return error || !value.is_object() ? json::object() : value.get_object();
 }
 
-uint64_t NumberAt(const json::object& object, const char* name) {
+uint64_t NumberField(const json::object& object, const char* name) {
   const json::value* value = object.if_contains(name);
   if (value == nullptr) return 0;
   if (value->is_uint64()) return value->get_uint64();
   return value->is_int64() ? static_cast<uint64_t>(value->get_int64()) : 0;
 }
 
-std::string TextAt(const json::object& object, const char* name) {
+std::string StringField(const json::object& object, const char* name) {
   const json::value* value = object.if_contains(name);
   if (value == nullptr || !value->is_string()) return {};
   return std::string(value->get_string());
@@ -39,42 +39,42 @@
   return "/v1/objects/" + UrlEncode(kind) + "/" + UrlEncode(name);
 }
 
-ObjectAnswer AnswerOf(const http::EndEvent& end) {
-  ObjectAnswer answer;
-  answer.message = end.message.empty() ? end.body : end.message;
-  if (end.outcome != ClientOutcome::kComplete) return answer;
+ObjectResponse ParseResponse(const http::EndEvent& end) {
+  ObjectResponse response;
+  response.message = end.message.empty() ? end.body : end.message;
+  if (end.outcome != ClientOutcome::kComplete) return response;
   const json::object fields = ParseObject(end.body);
-  answer.version = NumberAt(fields, "version");
-  answer.value = TextAt(fields, "value");
+  response.version = NumberField(fields, "version");
+  response.value = StringField(fields, "value");
   switch (end.status) {
     case kOkStatus:
-      answer.code = ExitCode::kOk;
+      response.code = ExitCode::kOk;
       break;
     case kNotFoundStatus:
-      answer.code = ExitCode::kNotFound;
+      response.code = ExitCode::kNotFound;
       break;
     case kConflictStatus:
-      answer.code = ExitCode::kConflict;
+      response.code = ExitCode::kConflict;
       break;
     default:
-      answer.code = ExitCode::kFailed;
+      response.code = ExitCode::kFailed;
   }
-  return answer;
+  return response;
 }
 
 }  // namespace
 
-ObjectAnswer ObjectStore::Read(const std::string& kind,
-                               const std::string& name) const {
+ObjectResponse ObjectStore::Read(const std::string& kind,
+                                 const std::string& name) const {
   HttpCall call;
   call.address = address_;
   call.target = TargetOf(kind, name);
-  return AnswerOf(Send(call));
+  return ParseResponse(Send(call));
 }
 
-ObjectAnswer ObjectStore::Write(const std::string& kind,
-                                const std::string& name, uint64_t if_version,
-                                const std::string& value) const {
+ObjectResponse ObjectStore::Write(const std::string& kind,
+                                  const std::string& name, uint64_t if_version,
+                                  const std::string& value) const {
   HttpCall call;
   call.address = address_;
   call.method = "PUT";
@@ -84,23 +84,23 @@
   const http::EndEvent end = Send(call);
   const bool in_doubt = end.outcome == ClientOutcome::kLost ||
                         end.outcome == ClientOutcome::kDeadline;
-  if (!in_doubt) return AnswerOf(end);
-  ObjectAnswer present = Read(kind, name);
-  if (present.code == ExitCode::kOk && present.value == value) return present;
-  present.code = ExitCode::kUnavailable;
-  present.message = "the answer was lost and the change is not to be seen";
-  return present;
+  if (!in_doubt) return ParseResponse(end);
+  ObjectResponse stored = Read(kind, name);
+  if (stored.code == ExitCode::kOk && stored.value == value) return stored;
+  stored.code = ExitCode::kUnavailable;
+  stored.message = "the response was lost and the change is not visible";
+  return stored;
 }
 
-ObjectAnswer ObjectStore::Delete(const std::string& kind,
-                                 const std::string& name,
-                                 uint64_t if_version) const {
+ObjectResponse ObjectStore::Delete(const std::string& kind,
+                                   const std::string& name,
+                                   uint64_t if_version) const {
   HttpCall call;
   call.address = address_;
   call.method = "DELETE";
   call.target =
       TargetOf(kind, name) + "?if_version=" + std::to_string(if_version);
-  return AnswerOf(Send(call));
+  return ParseResponse(Send(call));
 }
 
 ExitCode ObjectStore::List(const std::string& kind,
@@ -117,20 +117,21 @@
     const json::object page = ParseObject(end.body);
     const json::value* list = page.if_contains("objects");
     if (list == nullptr || !list->is_array()) return ExitCode::kFailed;
-    for (const json::value& entry : list->get_array()) {
-      const json::object& fields = entry.get_object();
+    for (const json::value& element : list->get_array()) {
+      const json::object& fields = element.get_object();
       const json::value* deleted = fields.if_contains("deleted");
       if (deleted != nullptr && deleted->is_bool() && deleted->get_bool()) {
         continue;
       }
-      objects->push_back({TextAt(fields, "name"), NumberAt(fields, "version"),
-                          TextAt(fields, "value")});
+      objects->push_back({StringField(fields, "name"),
+                          NumberField(fields, "version"),
+                          StringField(fields, "value")});
     }
     const json::value* more = page.if_contains("more");
     if (more == nullptr || !more->is_bool() || !more->get_bool()) {
       return ExitCode::kOk;
     }
-    after = NumberAt(page, "revision");
+    after = NumberField(page, "revision");
   }
 }
 
--- a/apps/knapctl/src/object_store.h
+++ b/apps/knapctl/src/object_store.h
@@ -9,7 +9,9 @@
 
 namespace knapweedstile::ctl {
 
-struct ObjectAnswer {
+// Result of one operation; `version` and `value` are those of the stored
+// object.
+struct ObjectResponse {
   ExitCode code = ExitCode::kUnavailable;
   uint64_t version = 0;
   std::string value;
@@ -22,19 +24,20 @@
   std::string value;
 };
 
-// The operators' objects, through a gateway.
+// Client of the objects API of a gateway; `address` is its admin address.
 class ObjectStore {
  public:
   explicit ObjectStore(std::string address) : address_(std::move(address)) {}
 
-  ObjectAnswer Read(const std::string& kind, const std::string& name) const;
-  // Only while the version is still `if_version`. A lost answer is resolved by
-  // reading the object back and comparing.
-  ObjectAnswer Write(const std::string& kind, const std::string& name,
-                     uint64_t if_version, const std::string& value) const;
-  ObjectAnswer Delete(const std::string& kind, const std::string& name,
-                      uint64_t if_version) const;
-  // kOk and all objects of the kind, or why not.
+  ObjectResponse Read(const std::string& kind, const std::string& name) const;
+  // Writes only if the stored version is `if_version` (0: creates the object),
+  // else returns kConflict. If the response is lost, reads the object back to
+  // find out whether the write was applied.
+  ObjectResponse Write(const std::string& kind, const std::string& name,
+                       uint64_t if_version, const std::string& value) const;
+  ObjectResponse Delete(const std::string& kind, const std::string& name,
+                        uint64_t if_version) const;
+  // Appends all objects of the kind, without deleted ones.
   ExitCode List(const std::string& kind,
                 std::vector<ListedObject>* objects) const;
 
--- a/apps/knapctl/src/output.cc
+++ b/apps/knapctl/src/output.cc
@@ -11,7 +11,7 @@
 namespace knapweedstile::ctl {
 namespace {
 
-constexpr size_t kGap = 2;
+constexpr size_t kColumnGap = 2;
 constexpr size_t kBarWidth = 32;
 
 }  // namespace
@@ -29,7 +29,7 @@
     for (size_t i = 0; i < row.size(); ++i) {
       text += row[i];
       if (i + 1 < row.size()) {
-        text.append(widths[i] - row[i].size() + kGap, ' ');
+        text.append(widths[i] - row[i].size() + kColumnGap, ' ');
       }
     }
     text += '\n';
@@ -44,16 +44,16 @@
   if (drawn_) fmt::print(stderr, "\n");
 }
 
-void ProgressBar::Show(double share, std::string_view note) {
+void ProgressBar::Update(double share, std::string_view note) {
   if (!terminal_) return;
   drawn_ = true;
-  const auto full =
+  const auto filled =
       static_cast<size_t>(std::lround(std::clamp(share, 0.0, 1.0) * kBarWidth));
-  fmt::print(stderr, "\r{} [{}{}] {}   ", title_, std::string(full, '#'),
-             std::string(kBarWidth - full, '.'), note);
+  fmt::print(stderr, "\r{} [{}{}] {}   ", title_, std::string(filled, '#'),
+             std::string(kBarWidth - filled, '.'), note);
   std::fflush(stderr);
 }
 
-void Complain(std::string_view text) { fmt::print(stderr, "{}\n", text); }
+void PrintError(std::string_view text) { fmt::print(stderr, "{}\n", text); }
 
 }  // namespace knapweedstile::ctl
--- a/apps/knapctl/src/output.h
+++ b/apps/knapctl/src/output.h
@@ -8,17 +8,17 @@
 
 namespace knapweedstile::ctl {
 
-// Rows of text in aligned columns; the first row is the heading.
+// Text table with aligned columns; the first row is the heading.
 class TextTable {
  public:
-  void Add(std::vector<std::string> row) { rows_.push_back(std::move(row)); }
+  void AddRow(std::vector<std::string> row) { rows_.push_back(std::move(row)); }
   std::string Render() const;
 
  private:
   std::vector<std::vector<std::string>> rows_;
 };
 
-// A bar on standard error for long work, drawn only on a terminal.
+// Progress bar on standard error; draws nothing if that is not a terminal.
 class ProgressBar {
  public:
   explicit ProgressBar(std::string title);
@@ -26,8 +26,8 @@
   ProgressBar(const ProgressBar&) = delete;
   ProgressBar& operator=(const ProgressBar&) = delete;
 
-  // `share` from 0 to 1.
-  void Show(double share, std::string_view note);
+  // Redraws the bar; `share` is the completed share from 0 to 1.
+  void Update(double share, std::string_view note);
 
  private:
   std::string title_;
@@ -35,8 +35,8 @@
   bool drawn_ = false;
 };
 
-// One line on standard error.
-void Complain(std::string_view text);
+// Prints one line to standard error.
+void PrintError(std::string_view text);
 
 }  // namespace knapweedstile::ctl
 
--- a/apps/knapctl/src/status_command.h
+++ b/apps/knapctl/src/status_command.h
@@ -7,8 +7,8 @@
 
 struct CommandLine;
 
-// `status`: which revision is in force where, which backend servers there are
-// under which policy, and which objects are refused.
+// `knapctl status`: shows the active configuration of each process, the backend
+// servers with their policies, and the rejected objects.
 ExitCode RunStatus(const CommandLine& line);
 
 }  // namespace knapweedstile::ctl
--- a/apps/knapctl/src/timeline_command.cc
+++ b/apps/knapctl/src/timeline_command.cc
@@ -5,18 +5,18 @@
 #include <fstream>
 #include <string>
 
+#include "arguments.h"
 #include "command_line.h"
 #include "merged_timeline.h"
 #include "output.h"
-#include "words.h"
 
 namespace knapweedstile::ctl {
 
 ExitCode RunTimeline(const CommandLine& line) {
-  const ParsedWords parsed = ParseWords(
+  const ParsedArguments parsed = ParseArguments(
       "knapctl timeline",
-      "Merges the time lines of every --admin address on one clock.",
-      line.words, [](cxxopts::Options& options) {
+      "Merges the timelines of all --admin addresses on one clock.",
+      line.arguments, [](cxxopts::Options& options) {
         options.add_options()("chrome", "write Chrome trace JSON to this file",
                               cxxopts::value<std::string>())(
             "request", "print one request or item (JOB/INDEX) as text",
@@ -27,13 +27,13 @@
   ExitCode code = line.admins.empty() ? ExitCode::kUsage : ExitCode::kOk;
   for (const std::string& admin : line.admins) {
     if (timeline.AddProcess(admin)) continue;
-    Complain(admin + " does not answer");
+    PrintError(admin + " does not respond");
     code = ExitCode::kUnavailable;
   }
   timeline.Sort();
   if (parsed.result->count("request") != 0) {
     const std::string text =
-        timeline.TextOf((*parsed.result)["request"].as<std::string>());
+        timeline.RequestText((*parsed.result)["request"].as<std::string>());
     if (text.empty()) return ExitCode::kNotFound;
     fmt::print("{}", text);
   }
--- a/apps/knapctl/src/timeline_command.h
+++ b/apps/knapctl/src/timeline_command.h
@@ -7,7 +7,7 @@
 
 struct CommandLine;
 
-// `timeline`: merges the time lines of every --admin address.
+// `knapctl timeline`: merges the timelines of all --admin addresses.
 ExitCode RunTimeline(const CommandLine& line);
 
 }  // namespace knapweedstile::ctl
--- a/apps/knapctl/src/workspaces_command.cc
+++ b/apps/knapctl/src/workspaces_command.cc
@@ -10,57 +10,58 @@
 #include <string>
 #include <vector>
 
+#include "arguments.h"
 #include "command_line.h"
 #include "node_pages.h"
 #include "output.h"
-#include "words.h"
 
 namespace knapweedstile::ctl {
 namespace {
 
 namespace json = boost::json;
 
-// A workspace as the gateways that answered see it together.
-struct Use {
+// Usage of a workspace, summed over the gateways that responded.
+struct Usage {
   double per_second = 0;
   double burst = 0;
   int64_t keys = 0;
-  int64_t admitted = 0;  // in the window, by the gateways' own counts
-  int64_t refused = 0;
-  // Least and most that a gateway knows of all others' counts.
-  int64_t least_known = 0;
-  int64_t most_known = 0;
-  bool seen = false;
+  int64_t admitted = 0;  // in the window, as counted by each gateway
+  int64_t rejected = 0;
+  // Smallest and largest total that a gateway knows from its own count and the
+  // reports of its peers.
+  int64_t min_known = 0;
+  int64_t max_known = 0;
+  bool has_count = false;
 };
 
-void Add(const json::object& entry, Use& use) {
+void Add(const json::object& fields, Usage& usage) {
   const auto number = [&](const char* name) {
-    return entry.at(name).to_number<int64_t>();
+    return fields.at(name).to_number<int64_t>();
   };
-  use.per_second = entry.at("requests_per_second").to_number<double>();
-  use.burst = entry.at("burst").to_number<double>();
-  use.keys = number("keys");
-  use.admitted += number("admitted_here");
-  use.refused += number("refused_here");
+  usage.per_second = fields.at("requests_per_second").to_number<double>();
+  usage.burst = fields.at("burst").to_number<double>();
+  usage.keys = number("keys");
+  usage.admitted += number("admitted_here");
+  usage.rejected += number("refused_here");
   const int64_t known = number("admitted");
-  use.least_known = use.seen ? std::min(use.least_known, known) : known;
-  use.most_known = std::max(use.most_known, known);
-  use.seen = true;
+  usage.min_known = usage.has_count ? std::min(usage.min_known, known) : known;
+  usage.max_known = std::max(usage.max_known, known);
+  usage.has_count = true;
 }
 
-std::string Rate(const Use& use) {
-  if (use.per_second <= 0) return "no limit";
-  return fmt::format("{:g}/s + {:g}", use.per_second, use.burst);
+std::string RateText(const Usage& usage) {
+  if (usage.per_second <= 0) return "no limit";
+  return fmt::format("{:g}/s + {:g}", usage.per_second, usage.burst);
 }
 
-void Print(const std::map<std::string, Use>& uses) {
+void Print(const std::map<std::string, Usage>& usage_by_workspace) {
   TextTable table;
-  table.Add({"WORKSPACE", "KEYS", "RATE", "ADMITTED", "KNOWN", "REFUSED"});
-  for (const auto& [name, use] : uses) {
-    table.Add({name, std::to_string(use.keys), Rate(use),
-               std::to_string(use.admitted),
-               fmt::format("{}..{}", use.least_known, use.most_known),
-               std::to_string(use.refused)});
+  table.AddRow({"WORKSPACE", "KEYS", "RATE", "ADMITTED", "KNOWN", "REFUSED"});
+  for (const auto& [name, usage] : usage_by_workspace) {
+    table.AddRow({name, std::to_string(usage.keys), RateText(usage),
+                  std::to_string(usage.admitted),
+                  fmt::format("{}..{}", usage.min_known, usage.max_known),
+                  std::to_string(usage.rejected)});
   }
   fmt::print("{}", table.Render());
 }
@@ -68,31 +69,31 @@
 }  // namespace
 
 ExitCode RunWorkspaces(const CommandLine& line) {
-  const ParsedWords parsed = ParseWords(
+  const ParsedArguments parsed = ParseArguments(
       "knapctl workspaces",
-      "Limits and use of workspaces in the last seconds, over every --admin "
-      "address.",
-      line.words, [](cxxopts::Options&) {});
+      "Shows limits and recent usage of workspaces over all --admin addresses.",
+      line.arguments, [](cxxopts::Options&) {});
   if (!parsed.result) return parsed.code;
-  bool all = !line.admins.empty();
-  std::map<std::string, Use> uses;
+  bool all_responded = !line.admins.empty();
+  std::map<std::string, Usage> usage_by_workspace;
   json::array nodes;
   for (const NodePage& page : FetchPages(line.admins, "/workspaces")) {
-    all = all && !page.page.empty();
-    nodes.push_back({{"admin", page.address}, {"page", page.page}});
-    const json::value* list = page.page.if_contains("workspaces");
+    all_responded = all_responded && !page.fields.empty();
+    nodes.push_back({{"admin", page.address}, {"page", page.fields}});
+    const json::value* list = page.fields.if_contains("workspaces");
     if (!list || !list->is_array()) continue;
-    for (const json::value& entry : list->get_array()) {
-      const json::object& workspace = entry.get_object();
-      Add(workspace, uses[std::string(workspace.at("name").as_string())]);
+    for (const json::value& element : list->get_array()) {
+      const json::object& workspace = element.get_object();
+      Add(workspace,
+          usage_by_workspace[std::string(workspace.at("name").as_string())]);
     }
   }
   if (line.json) {
     fmt::print("{}\n", json::serialize(nodes));
   } else {
-    Print(uses);
+    Print(usage_by_workspace);
   }
-  return all ? ExitCode::kOk : ExitCode::kUnavailable;
+  return all_responded ? ExitCode::kOk : ExitCode::kUnavailable;
 }
 
 }  // namespace knapweedstile::ctl
--- a/apps/knapctl/src/workspaces_command.h
+++ b/apps/knapctl/src/workspaces_command.h
@@ -7,7 +7,8 @@
 
 struct CommandLine;
 
-// `knapctl workspaces`: limits and use of each workspace over all gateways.
+// `knapctl workspaces`: shows limits and usage of each workspace over all
+// gateways.
 ExitCode RunWorkspaces(const CommandLine& line);
 
 }  // namespace knapweedstile::ctl
--- a/libs/load/include/load/arrival.h
+++ b/libs/load/include/load/arrival.h
@@ -13,20 +13,21 @@
 
 enum class ArrivalKind { kCompletion, kChat, kService };
 
-// One planned request.
+// One planned request of a load test.
 struct Arrival {
-  Duration at{};  // from the start of the run
+  Duration at{};  // since the start of the run
   ArrivalKind kind = ArrivalKind::kCompletion;
   std::string workspace;
   std::string caller;
   std::string prompt;
   uint32_t max_tokens = 0;
   bool stream = false;
-  bool leaves = false;  // closes its connection after the first token
+  bool disconnects = false;  // closes its connection after the first token
 };
 
-// What a stand-in engine answers to this arrival: the prompt's first words.
-std::string ExpectedAnswer(const Arrival& arrival);
+// Returns the text with which a simulated engine responds to this request: the
+// first max_tokens words of the prompt, each followed by a space.
+std::string ExpectedResponse(const Arrival& arrival);
 
 }  // namespace knapweedstile::load
 
--- a/libs/load/include/load/arrival_plan.h
+++ b/libs/load/include/load/arrival_plan.h
@@ -9,11 +9,11 @@
 
 struct LoadMix;
 
-// All arrivals of a run, in order of time. Open loop: they do not wait for each
-// other's answers, so a slow fleet is not spared the load it falls behind on.
+// Plans all arrivals of a run, sorted by time. Open loop: arrivals do not wait
+// for earlier responses, so a slow fleet does not lower the load on itself.
 std::vector<Arrival> PlanArrivals(const LoadMix& mix);
 
-// The body of a batch job of `items` items like the mix's completions, one JSON
+// Returns the body of a batch job: `items` completions of the mix, one JSON
 // line each.
 std::string PlanBatchBody(const LoadMix& mix, uint32_t items,
                           uint32_t max_tokens, uint64_t seed);
--- a/libs/load/include/load/call_outcome.h
+++ b/libs/load/include/load/call_outcome.h
@@ -11,26 +11,26 @@
 
 namespace knapweedstile::load {
 
-enum class CallEnd {
-  kWhole,    // the whole answer, and the right one
-  kWrong,    // an answer that is not this request's own, or not whole
-  kRefused,  // an error that says "not run"
-  kError,    // any other error answer
-  kLost,     // no answer
-  kLeft,     // the caller went away, as planned
+enum class CallResult {
+  kComplete,      // complete response with the expected text
+  kInvalid,       // incomplete, or the response to another request
+  kRejected,      // error response that says "not run"
+  kError,         // any other error response
+  kNoResponse,    // no response
+  kDisconnected,  // the caller disconnected, as planned
 };
 
-// What the caller of one arrival received. Times count from the moment at which
-// the arrival was planned, not from when it was sent: a load generator that
-// falls behind must not hide that (coordinated omission).
+// Result of one request. Times count from the planned arrival, not from when
+// the request was sent, so that a load generator that falls behind does not
+// hide latency (coordinated omission).
 struct CallOutcome {
   uint32_t arrival = 0;  // index in the plan
-  CallEnd end = CallEnd::kLost;
+  CallResult result = CallResult::kNoResponse;
   unsigned status = 0;
-  std::string code;  // of an error answer
+  std::string error_code;  // of an error response
   Duration planned_at{};
   bool streamed = false;
-  Duration first_token_after{};  // the whole answer when not streamed
+  Duration first_token_after{};  // end of the response if not streamed
   Duration ended_after{};
   uint32_t tokens = 0;
 };
@@ -40,8 +40,8 @@
 namespace knapweedstile {
 
 template <>
-inline constexpr std::array<std::string_view, 6> kEnumNames<load::CallEnd> = {
-    "whole", "wrong", "refused", "error", "lost", "left"};
+inline constexpr std::array<std::string_view, 6> kEnumNames<load::CallResult> =
+    {"whole", "wrong", "refused", "error", "lost", "left"};
 
 }  // namespace knapweedstile
 
--- a/libs/load/include/load/load_run.h
+++ b/libs/load/include/load/load_run.h
@@ -13,36 +13,36 @@
 
 namespace knapweedstile::load {
 
+// Where and how a run sends its requests.
 struct LoadTargets {
-  std::vector<std::string> entries;  // callers' addresses, taken in turn
+  std::vector<std::string> gateways;  // callers' addresses, used in turn
   std::string model;
   std::string service_path;
-  // Keys of workspaces, by name; one that has none is only named.
+  // API keys by workspace; a workspace without a key is only named.
   std::map<std::string, std::string> workspace_keys;
-  std::string host;  // of the routes; empty: the entry's address
-  // How long after the last arrival an answer is waited for.
-  Duration patience = std::chrono::seconds(30);
-  // Whether the answers are those of a stand-in engine, and so can be checked
-  // word by word.
-  bool check_answers = true;
+  std::string host;  // of the routes; empty: gateway address
+  // How long to wait for responses after the last arrival.
+  Duration response_timeout = std::chrono::seconds(30);
+  // Whether responses must equal ExpectedResponse, that of a simulated engine.
+  bool verify_responses = true;
 };
 
-// Sends a plan open loop and records what each caller received. Blocks until
-// all is answered or the patience is over.
+// Sends a plan open loop and records the outcome of each request.
 class LoadRun {
  public:
-  // Called about ten times a second on the running thread, with the calls ended
-  // so far and the time since the start.
-  using Progress = std::function<void(size_t ended, Duration since_start)>;
+  // Called about ten times a second on the thread of Run, with the number of
+  // finished requests and the time since the start.
+  using Progress = std::function<void(size_t finished, Duration since_start)>;
 
   LoadRun(const LoadTargets& targets, std::vector<Arrival> plan);
   ~LoadRun();
   LoadRun(const LoadRun&) = delete;
   LoadRun& operator=(const LoadRun&) = delete;
 
-  // In the order of the plan.
+  // Blocks until every request has finished or the response timeout is over.
+  // Returns the outcomes in the order of the plan.
   std::vector<CallOutcome> Run(const Progress& progress = {});
-  // When Run began.
+  // Start time of Run.
   TimePoint started_at() const;
 
  private:
--- a/libs/load/src/arrival_plan.cc
+++ b/libs/load/src/arrival_plan.cc
@@ -12,54 +12,57 @@
 namespace knapweedstile::load {
 namespace {
 
-// Draws 0..n-1 with weight 1/(rank+1)^skew.
-class ZipfDraw {
+// Zipf distribution over 0..n-1: weight 1/(rank+1)^skew.
+class ZipfDistribution {
  public:
-  ZipfDraw(uint32_t n, double skew) {
+  ZipfDistribution(uint32_t n, double skew) {
     double sum = 0;
     for (uint32_t rank = 0; rank < n; ++rank) {
       sum += 1.0 / std::pow(rank + 1.0, skew);
-      upper_.push_back(sum);
+      cumulative_weights_.push_back(sum);
     }
   }
 
   uint32_t operator()(Rng& rng) const {
-    const double at = UniformUnit(rng) * upper_.back();
-    return static_cast<uint32_t>(
-        std::upper_bound(upper_.begin(), upper_.end() - 1, at) -
-        upper_.begin());
+    const double at = UniformUnit(rng) * cumulative_weights_.back();
+    return static_cast<uint32_t>(std::upper_bound(cumulative_weights_.begin(),
+                                                  cumulative_weights_.end() - 1,
+                                                  at) -
+                                 cumulative_weights_.begin());
   }
 
  private:
-  std::vector<double> upper_;
+  std::vector<double> cumulative_weights_;
 };
 
 std::string Word(uint64_t number) {
-  constexpr uint64_t kWords = 5000;
-  return "w" + std::to_string(number % kWords);
+  constexpr uint64_t kVocabularySize = 5000;
+  return "w" + std::to_string(number % kVocabularySize);
 }
 
-uint32_t Between(Rng& rng, uint32_t least, uint32_t most) {
-  return least + static_cast<uint32_t>(UniformBelow(rng, most - least + 1));
+uint32_t UniformBetween(Rng& rng, uint32_t min, uint32_t max) {
+  return min + static_cast<uint32_t>(UniformBelow(rng, max - min + 1));
 }
 
-// Every prompt ends with a word that no other has, so that an answer which
-// belongs to another request is seen.
-std::string MakePrompt(const LoadMix& mix, uint32_t key, uint64_t unique,
-                       Rng& rng) {
-  std::string prompt = "u" + std::to_string(unique);
-  Rng shared(key);
-  std::string start;
-  for (uint32_t i = 0; i < mix.shared_words; ++i) {
-    start += Word(shared()) + ' ';
+// Every prompt contains a word that no other has, so that a response to another
+// request is detected.
+std::string MakePrompt(const LoadMix& mix, uint32_t prefix_id,
+                       uint64_t unique_id, Rng& rng) {
+  std::string own_text = "u" + std::to_string(unique_id);
+  Rng prefix_rng(prefix_id);
+  std::string prefix;
+  for (uint32_t i = 0; i < mix.prefix_words; ++i) {
+    prefix += Word(prefix_rng()) + ' ';
   }
-  const uint32_t own = Between(rng, mix.own_words_least, mix.own_words_most);
-  for (uint32_t i = 0; i < own; ++i) prompt += ' ' + Word(rng());
-  return start + prompt;
+  const uint32_t own_words =
+      UniformBetween(rng, mix.min_unique_words, mix.max_unique_words);
+  for (uint32_t i = 0; i < own_words; ++i) own_text += ' ' + Word(rng());
+  return prefix + own_text;
 }
 
-Arrival DrawArrival(const LoadMix& mix, const ZipfDraw& keys,
-                    const ZipfDraw& workspaces, uint64_t unique, Rng& rng) {
+Arrival DrawArrival(const LoadMix& mix, const ZipfDistribution& prefixes,
+                    const ZipfDistribution& workspaces, uint64_t unique_id,
+                    Rng& rng) {
   Arrival arrival;
   const bool service =
       !mix.service_path.empty() && UniformUnit(rng) < mix.service_share;
@@ -68,43 +71,46 @@
                  : chat  ? ArrivalKind::kChat
                          : ArrivalKind::kCompletion;
   arrival.stream = UniformUnit(rng) < mix.stream_share;
-  arrival.leaves = arrival.stream && UniformUnit(rng) < mix.leave_share;
+  arrival.disconnects =
+      arrival.stream && UniformUnit(rng) < mix.disconnect_share;
   arrival.max_tokens =
       UniformUnit(rng) < mix.long_share ? mix.long_tokens : mix.short_tokens;
   const uint32_t workspace = workspaces(rng);
   arrival.workspace = "workspace-" + std::to_string(workspace);
   arrival.caller = "caller-" + std::to_string(UniformBelow(rng, 8));
-  arrival.prompt = MakePrompt(mix, keys(rng), unique, rng);
+  arrival.prompt = MakePrompt(mix, prefixes(rng), unique_id, rng);
   return arrival;
 }
 
 }  // namespace
 
-std::string ExpectedAnswer(const Arrival& arrival) {
-  std::string answer;
+std::string ExpectedResponse(const Arrival& arrival) {
+  std::string response;
   uint32_t words = 0;
   size_t at = 0;
   while (words < arrival.max_tokens && at < arrival.prompt.size()) {
     const size_t end =
         std::min(arrival.prompt.find(' ', at), arrival.prompt.size());
-    answer.append(arrival.prompt, at, end - at);
-    answer += ' ';
+    response.append(arrival.prompt, at, end - at);
+    response += ' ';
     ++words;
     at = end + 1;
   }
-  return answer;
+  return response;
 }
 
 std::vector<Arrival> PlanArrivals(const LoadMix& mix) {
   Rng rng(mix.seed);
-  const ZipfDraw keys(mix.keys, mix.key_skew);
-  const ZipfDraw workspaces(mix.workspaces, mix.workspace_skew);
+  const ZipfDistribution prefixes(mix.prompt_prefixes, mix.prefix_skew);
+  const ZipfDistribution workspaces(mix.workspaces, mix.workspace_skew);
   std::vector<Arrival> arrivals;
   Duration at{};
   for (;;) {
-    at += FromSeconds(-std::log(1.0 - UniformUnit(rng)) / mix.per_second);
+    at += FromSeconds(-std::log(1.0 - UniformUnit(rng)) /
+                      mix.requests_per_second);
     if (at >= mix.length) return arrivals;
-    Arrival arrival = DrawArrival(mix, keys, workspaces, arrivals.size(), rng);
+    Arrival arrival =
+        DrawArrival(mix, prefixes, workspaces, arrivals.size(), rng);
     arrival.at = at;
     arrivals.push_back(std::move(arrival));
   }
@@ -113,14 +119,14 @@
 std::string PlanBatchBody(const LoadMix& mix, uint32_t items,
                           uint32_t max_tokens, uint64_t seed) {
   Rng rng(seed);
-  const ZipfDraw keys(mix.keys, mix.key_skew);
+  const ZipfDistribution prefixes(mix.prompt_prefixes, mix.prefix_skew);
   std::string body;
   for (uint32_t i = 0; i < items; ++i) {
     const boost::json::value line{
         {"custom_id", "item-" + std::to_string(i)},
         {"body",
          {{"model", mix.model},
-          {"prompt", MakePrompt(mix, keys(rng), i, rng)},
+          {"prompt", MakePrompt(mix, prefixes(rng), i, rng)},
           {"max_tokens", max_tokens}}}};
     body += boost::json::serialize(line);
     body += '\n';
--- a/libs/load/src/load_run.cc
+++ b/libs/load/src/load_run.cc
@@ -9,27 +9,27 @@
 #include <utility>
 #include <variant>
 
-#include "answer_reader.h"
 #include "base/clock.h"
 #include "http/client.h"
+#include "response_reader.h"
 
 namespace knapweedstile::load {
 namespace {
 
 namespace json = boost::json;
 
-constexpr unsigned kOk = 200;
+constexpr unsigned kOkStatus = 200;
 constexpr std::chrono::milliseconds kProgressPeriod{100};
 
-// One call in flight.
+// One request in flight.
 struct Call {
   uint32_t arrival = 0;
-  AnswerReader reader{true};
+  ResponseReader reader{true};
   unsigned status = 0;
   std::optional<TimePoint> first_token_at;
 };
 
-std::string BodyOf(const Arrival& arrival, const std::string& model) {
+std::string RequestBody(const Arrival& arrival, const std::string& model) {
   json::object body{{"model", model},
                     {"max_tokens", arrival.max_tokens},
                     {"stream", arrival.stream}};
@@ -52,8 +52,8 @@
         outcomes_(plan_.size()),
         client_(io_, http::ClientSettings(),
                 [this](http::ClientEvent&& event) { OnEvent(event); }),
-        arrivals_(io_),
-        ticks_(io_) {}
+        arrival_timer_(io_),
+        progress_timer_(io_) {}
 
   std::vector<CallOutcome> Run(const Progress& progress) {
     started_at_ = MonotonicNow();
@@ -65,13 +65,14 @@
           plan_[i].stream && plan_[i].kind != ArrivalKind::kService;
     }
     const Duration last = plan_.empty() ? Duration() : plan_.back().at;
-    give_up_at_ = started_at_ + last + targets_.patience;
-    ScheduleNext();
-    ScheduleTick();
+    deadline_ = started_at_ + last + targets_.response_timeout;
+    ScheduleNextArrival();
+    ScheduleProgress();
     io_.run();
     for (CallOutcome& outcome : outcomes_) {
       if (outcome.ended_after == Duration()) {
-        outcome.ended_after = last + targets_.patience - outcome.planned_at;
+        outcome.ended_after =
+            last + targets_.response_timeout - outcome.planned_at;
       }
     }
     return outcomes_;
@@ -80,29 +81,29 @@
   TimePoint started_at() const { return started_at_; }
 
  private:
-  void ScheduleNext() {
-    if (next_ == plan_.size()) return;
-    arrivals_.expires_at(started_at_ + plan_[next_].at);
-    arrivals_.async_wait([this](boost::system::error_code error) {
+  void ScheduleNextArrival() {
+    if (next_arrival_ == plan_.size()) return;
+    arrival_timer_.expires_at(started_at_ + plan_[next_arrival_].at);
+    arrival_timer_.async_wait([this](boost::system::error_code error) {
       if (error) return;
-      while (next_ < plan_.size() &&
-             started_at_ + plan_[next_].at <= MonotonicNow()) {
-        Send(static_cast<uint32_t>(next_++));
+      while (next_arrival_ < plan_.size() &&
+             started_at_ + plan_[next_arrival_].at <= MonotonicNow()) {
+        Send(static_cast<uint32_t>(next_arrival_++));
       }
-      ScheduleNext();
+      ScheduleNextArrival();
     });
   }
 
-  void ScheduleTick() {
-    ticks_.expires_after(kProgressPeriod);
-    ticks_.async_wait([this](boost::system::error_code error) {
+  void ScheduleProgress() {
+    progress_timer_.expires_after(kProgressPeriod);
+    progress_timer_.async_wait([this](boost::system::error_code error) {
       if (error) return;
       const TimePoint now = MonotonicNow();
-      if (progress_) progress_(ended_, now - started_at_);
-      if (now >= give_up_at_) {
+      if (progress_) progress_(finished_calls_, now - started_at_);
+      if (now >= deadline_) {
         io_.stop();
-      } else if (ended_ < plan_.size()) {
-        ScheduleTick();
+      } else if (finished_calls_ < plan_.size()) {
+        ScheduleProgress();
       } else {
         client_.Close();
         io_.stop();
@@ -115,7 +116,7 @@
     const ExchangeId id(index + 1);
     http::ClientRequest request;
     request.exchange = id;
-    request.address = targets_.entries[index % targets_.entries.size()];
+    request.address = targets_.gateways[index % targets_.gateways.size()];
     request.method = "POST";
     request.stream_body = true;
     request.headers.Add(
@@ -133,15 +134,15 @@
                            ? "/v1/chat/completions"
                            : "/v1/completions";
       request.headers.Add("Content-Type", "application/json");
-      request.body = BodyOf(arrival, targets_.model);
+      request.body = RequestBody(arrival, targets_.model);
     }
-    calls_.emplace(id, Call{index, AnswerReader(arrival.stream), 0, {}});
+    calls_.emplace(id, Call{index, ResponseReader(arrival.stream), 0, {}});
     client_.Send(std::move(request));
   }
 
   void OnEvent(const http::ClientEvent& event) {
-    const ExchangeId id =
-        std::visit([](const auto& typed) { return typed.exchange; }, event);
+    const ExchangeId id = std::visit(
+        [](const auto& typed_event) { return typed_event.exchange; }, event);
     const auto found = calls_.find(id);
     if (found == calls_.end()) return;
     Call& call = found->second;
@@ -151,49 +152,50 @@
       OnBody(id, call, body->data);
     } else if (const auto* end = std::get_if<http::EndEvent>(&event)) {
       if (call.status == 0) call.status = end->status;
-      call.reader.End();
-      Finish(id, EndOf(call, *end));
+      call.reader.Finish();
+      Finish(id, ResultOf(call, *end));
     }
   }
 
   void OnBody(ExchangeId id, Call& call, const std::string& data) {
     call.reader.Feed(data);
-    if (!call.first_token_at && call.reader.pieces() > 0) {
+    if (!call.first_token_at && call.reader.content_chunks() > 0) {
       call.first_token_at = MonotonicNow();
-      if (plan_[call.arrival].leaves) {
+      if (plan_[call.arrival].disconnects) {
         client_.Cancel(id);
-        Finish(id, CallEnd::kLeft);
+        Finish(id, CallResult::kDisconnected);
       }
     }
   }
 
-  CallEnd EndOf(const Call& call, const http::EndEvent& end) const {
-    if (end.outcome != http::ClientOutcome::kComplete) return CallEnd::kLost;
+  CallResult ResultOf(const Call& call, const http::EndEvent& end) const {
+    if (end.outcome != http::ClientOutcome::kComplete)
+      return CallResult::kNoResponse;
     if (!call.reader.error_code().empty()) {
-      return call.reader.not_run() ? CallEnd::kRefused : CallEnd::kError;
+      return call.reader.not_run() ? CallResult::kRejected : CallResult::kError;
     }
-    if (call.status != kOk) return CallEnd::kError;
+    if (call.status != kOkStatus) return CallResult::kError;
     const Arrival& arrival = plan_[call.arrival];
-    if (arrival.kind == ArrivalKind::kService) return CallEnd::kWhole;
-    if (!call.reader.whole()) return CallEnd::kWrong;
-    const bool right = !targets_.check_answers ||
-                       call.reader.text() == ExpectedAnswer(arrival);
-    return right ? CallEnd::kWhole : CallEnd::kWrong;
+    if (arrival.kind == ArrivalKind::kService) return CallResult::kComplete;
+    if (!call.reader.complete()) return CallResult::kInvalid;
+    const bool matches = !targets_.verify_responses ||
+                         call.reader.text() == ExpectedResponse(arrival);
+    return matches ? CallResult::kComplete : CallResult::kInvalid;
   }
 
-  void Finish(ExchangeId id, CallEnd end) {
+  void Finish(ExchangeId id, CallResult result) {
     const auto found = calls_.find(id);
     const Call& call = found->second;
     CallOutcome& outcome = outcomes_[call.arrival];
     const TimePoint planned = started_at_ + outcome.planned_at;
     const TimePoint now = MonotonicNow();
-    outcome.end = end;
+    outcome.result = result;
     outcome.status = call.status;
-    outcome.code = call.reader.error_code();
+    outcome.error_code = call.reader.error_code();
     outcome.first_token_after = call.first_token_at.value_or(now) - planned;
     outcome.ended_after = now - planned;
-    outcome.tokens = call.reader.pieces();
-    ++ended_;
+    outcome.tokens = call.reader.content_chunks();
+    ++finished_calls_;
     calls_.erase(found);
   }
 
@@ -202,14 +204,14 @@
   std::vector<CallOutcome> outcomes_;
   boost::asio::io_context io_{1};
   http::Client client_;
-  boost::asio::steady_timer arrivals_;
-  boost::asio::steady_timer ticks_;
+  boost::asio::steady_timer arrival_timer_;
+  boost::asio::steady_timer progress_timer_;
   std::unordered_map<ExchangeId, Call> calls_;
   Progress progress_;
   TimePoint started_at_;
-  TimePoint give_up_at_;
-  size_t next_ = 0;
-  size_t ended_ = 0;
+  TimePoint deadline_;
+  size_t next_arrival_ = 0;
+  size_t finished_calls_ = 0;
 };
 
 LoadRun::LoadRun(const LoadTargets& targets, std::vector<Arrival> plan)
--- a/libs/load/src/response_reader.h
+++ b/libs/load/src/response_reader.h
@@ -1,5 +1,5 @@
-#ifndef KNAPWEEDSTILE_LOAD_ANSWER_READER_H_
-#define KNAPWEEDSTILE_LOAD_ANSWER_READER_H_
+#ifndef KNAPWEEDSTILE_LOAD_RESPONSE_READER_H_
+#define KNAPWEEDSTILE_LOAD_RESPONSE_READER_H_
 
 #include <cstdint>
 #include <string>
@@ -7,34 +7,35 @@
 
 namespace knapweedstile::load {
 
-// Reads an OpenAI-compatible answer, streamed or whole, as a caller's client
-// would. Written apart from the product's own reader, since it judges it.
-class AnswerReader {
+// Parses an OpenAI-compatible response, streamed or not, as a client would. It
+// verifies the gateway and therefore shares no code with the gateway's parser.
+class ResponseReader {
  public:
-  explicit AnswerReader(bool stream) : stream_(stream) {}
+  explicit ResponseReader(bool stream) : stream_(stream) {}
 
+  // Adds the next bytes of the body.
   void Feed(std::string_view bytes);
-  // Call once the body has ended.
-  void End();
+  // Call once at the end of the body.
+  void Finish();
 
   const std::string& text() const noexcept { return text_; }
-  uint32_t pieces() const noexcept { return pieces_; }
-  bool whole() const noexcept { return whole_; }
+  uint32_t content_chunks() const noexcept { return content_chunks_; }
+  bool complete() const noexcept { return complete_; }
   const std::string& error_code() const noexcept { return error_code_; }
   bool not_run() const noexcept { return not_run_; }
 
  private:
-  void TakeDocument(std::string_view document);
+  void ParseDocument(std::string_view document);
 
   bool stream_;
   std::string buffer_;
   std::string text_;
   std::string error_code_;
-  uint32_t pieces_ = 0;
-  bool whole_ = false;
+  uint32_t content_chunks_ = 0;
+  bool complete_ = false;
   bool not_run_ = false;
 };
 
 }  // namespace knapweedstile::load
 
-#endif  // KNAPWEEDSTILE_LOAD_ANSWER_READER_H_
+#endif  // KNAPWEEDSTILE_LOAD_RESPONSE_READER_H_
