--- a/scripts/guards_off.py
+++ b/scripts/guards_off.py
@@ -165,7 +165,7 @@
     found = {}
     for seed, run in zip(SEEDS, runs):
         for guarantee in set(re.findall(r"^BROKEN ([^:]*):",
-                                      run.communicate()[0], re.MULTILINE)):
+                                        run.communicate()[0], re.MULTILINE)):
             found.setdefault(guarantee, []).append(seed)
     return found
 
