--- a/tests/soak/batch_limits.h
+++ b/tests/soak/batch_limits.h
@@ -9,25 +9,27 @@
 
 namespace knapweedstile::soak {
 
-// The batch route of the deployment under test.
-inline constexpr int kMostFailures = 2;  // 500s until an item is given up
-// An item may be given up this long after its job was first sent.
+// Settings of the batch route in the deployment under test.
+// An item fails after this many responses with status 500.
+inline constexpr int kMaxFailures = 2;
+// An item may expire this long after its job was first submitted.
 inline constexpr std::chrono::seconds kItemLifetime{40};
-inline constexpr uint64_t kTokensOfItem = 100;
-// Small enough to be reached by a burst of jobs.
-inline constexpr uint64_t kMostWaitingTokens = 20000;
+inline constexpr uint64_t kTokensPerItem = 100;
+// Small enough that a burst of jobs reaches it.
+inline constexpr uint64_t kMaxWaitingTokens = 20000;
 inline constexpr double kQuotaOverage = 0.1;
 inline constexpr char kItemPrefix[] = "/summaries/";
 
-// Bodies by which stand-ins of backend servers know what cannot be done.
-inline const std::string& BodyOf(ItemNature nature) {
+// Request bodies by which simulated backend servers recognize items that must
+// fail.
+inline const std::string& BodyOf(ItemKind kind) {
   static const std::string kUsual = "summarize";
   static const std::string kUnprocessable = "unprocessable";
   static const std::string kFailing = "always fails";
-  switch (nature) {
-    case ItemNature::kUnprocessable:
+  switch (kind) {
+    case ItemKind::kUnprocessable:
       return kUnprocessable;
-    case ItemNature::kFailing:
+    case ItemKind::kFailing:
       return kFailing;
     default:
       return kUsual;
--- a/tests/soak/batch_record.h
+++ b/tests/soak/batch_record.h
@@ -10,18 +10,18 @@
 
 namespace knapweedstile::soak {
 
-enum class ItemNature : uint8_t {
-  kUsual,
-  kUnprocessable,  // every run is answered 422
-  kFailing,        // every run is answered 500
+enum class ItemKind : uint8_t {
+  kNormal,
+  kUnprocessable,  // every run gets status 422
+  kFailing,        // every run gets status 500
 };
 
 struct ItemRecord {
   std::string id;
-  ItemNature nature = ItemNature::kUsual;
+  ItemKind kind = ItemKind::kNormal;
 };
 
-// One result as it was first read.
+// A result as a caller first read it.
 struct ReadResult {
   std::string item;
   std::string state;
@@ -29,21 +29,21 @@
   TimePoint read_at{};
 };
 
-// One batch job as its caller knows it.
+// A batch job as its caller sees it.
 struct BatchRecord {
   std::string id;
   std::vector<ItemRecord> items;
   uint64_t tokens = 0;
   TimePoint first_sent_at{};
-  TimePoint accepted_at = kNever;  // first 202
-  bool maybe_accepted = false;     // an attempt without a refusal's promise
-  bool given_up = false;           // its caller sends it no more
-  TimePoint end_asked_at = kNever;
+  TimePoint accepted_at = kNever;  // first response with status 202
+  bool maybe_accepted = false;     // an attempt ended without a clear rejection
+  bool given_up = false;           // its caller no longer retries it
+  TimePoint end_requested_at = kNever;
   TimePoint ended_at = kNever;           // the end was acknowledged
   std::map<size_t, ReadResult> results;  // by position
 
   bool accepted() const noexcept { return accepted_at != kNever; }
-  bool end_asked() const noexcept { return end_asked_at != kNever; }
+  bool end_requested() const noexcept { return end_requested_at != kNever; }
 };
 
 }  // namespace knapweedstile::soak
--- a/tests/soak/batch_traffic.cc
+++ b/tests/soak/batch_traffic.cc
@@ -15,18 +15,19 @@
 namespace json = boost::json;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kJobPause{1200};
-constexpr milliseconds kReadPause{120};
-constexpr milliseconds kRetryPause{700};
+constexpr milliseconds kJobInterval{1200};
+constexpr milliseconds kReadInterval{120};
+constexpr milliseconds kRetryDelay{700};
 constexpr milliseconds kCallTimeout{4000};
-constexpr uint64_t kMostItems = 9;
-// A job is sent for this long; then its caller gives it up.
-constexpr std::chrono::seconds kSubmitTime{9};
-// One job in so many is ended by its caller; one item in so many is hopeless.
-constexpr uint64_t kEndShare = 25;  // of reads
-constexpr uint64_t kHopelessShare = 12;
-// What is known of a job is known everywhere this long after.
-constexpr milliseconds kKnownEverywhere{1500};
+constexpr uint64_t kMaxItemsPerJob = 9;
+// A caller retries the submission or end of a job for this long.
+constexpr std::chrono::seconds kSubmitPeriod{9};
+// One in kReadsPerEnd reads ends the job instead; one in kItemsPerFailingItem
+// items cannot be completed.
+constexpr uint64_t kReadsPerEnd = 25;
+constexpr uint64_t kItemsPerFailingItem = 12;
+// After this time, every gateway must have a job's records.
+constexpr milliseconds kPropagationTime{1500};
 
 std::string Base64(const std::string& text) {
   namespace base64 = boost::beast::detail::base64;
@@ -35,12 +36,12 @@
   return coded;
 }
 
-bool RefusesJob(unsigned status) { return status == 429 || status == 503; }
+bool RejectsJob(unsigned status) { return status == 429 || status == 503; }
 
-ItemNature DrawNature(Rng& rng) {
-  if (UniformBelow(rng, kHopelessShare) != 0) return ItemNature::kUsual;
-  return UniformBelow(rng, 2) == 0 ? ItemNature::kUnprocessable
-                                   : ItemNature::kFailing;
+ItemKind DrawKind(Rng& rng) {
+  if (UniformBelow(rng, kItemsPerFailingItem) != 0) return ItemKind::kNormal;
+  return UniformBelow(rng, 2) == 0 ? ItemKind::kUnprocessable
+                                   : ItemKind::kFailing;
 }
 
 }  // namespace
@@ -59,17 +60,18 @@
 
 void BatchTraffic::Run(TimePoint now) {
   Collect(now);
-  RetryDue(now);
+  RetryDueSubmissions(now);
   if (submitting_ && next_job_at_ <= now) {
     NewJob(now);
-    next_job_at_ = now + kJobPause;
+    next_job_at_ = now + kJobInterval;
   }
   if (next_read_at_ > now) return;
-  next_read_at_ = now + kReadPause;
-  BatchRecord* job = PickAccepted();
+  next_read_at_ = now + kReadInterval;
+  BatchRecord* job = PickAcceptedJob();
   if (!job) return;
-  if (UniformBelow(rng_, 8) == 0) AskBody(*job, now);
-  if (submitting_ && !job->end_asked() && UniformBelow(rng_, kEndShare) == 0) {
+  if (UniformBelow(rng_, 8) == 0) RequestBody(*job, now);
+  if (submitting_ && !job->end_requested() &&
+      UniformBelow(rng_, kReadsPerEnd) == 0) {
     return End(*job, now);
   }
   const bool from_start = UniformBelow(rng_, 4) == 0;
@@ -79,7 +81,7 @@
   Read(*job, site_.PickGateway(rng_), position, now);
 }
 
-BatchRecord* BatchTraffic::PickAccepted() {
+BatchRecord* BatchTraffic::PickAcceptedJob() {
   std::vector<BatchRecord*> accepted;
   for (auto& [id, job] : jobs_) {
     if (job.accepted()) accepted.push_back(&job);
@@ -89,13 +91,14 @@
 }
 
 void BatchTraffic::NewJob(TimePoint now) {
-  BatchRecord job{.id = fmt::format("job{}", ++last_), .first_sent_at = now};
-  const uint64_t count = 1 + UniformBelow(rng_, kMostItems);
+  BatchRecord job{.id = fmt::format("job{}", ++last_job_),
+                  .first_sent_at = now};
+  const uint64_t count = 1 + UniformBelow(rng_, kMaxItemsPerJob);
   for (uint64_t i = 0; i < count; ++i) {
     job.items.push_back(
-        {.id = fmt::format("{}-{}", job.id, i), .nature = DrawNature(rng_)});
+        {.id = fmt::format("{}-{}", job.id, i), .kind = DrawKind(rng_)});
   }
-  job.tokens = count * kTokensOfItem;
+  job.tokens = count * kTokensPerItem;
   Submit(jobs_.emplace(job.id, job).first->second, now);
 }
 
@@ -109,8 +112,8 @@
     items.push_back(json::object{{"id", item.id},
                                  {"path", kItemPrefix + item.id},
                                  {"headers", json::object{{"Model", "m"}}},
-                                 {"body", Base64(BodyOf(item.nature))},
-                                 {"tokens", kTokensOfItem}});
+                                 {"body", Base64(BodyOf(item.kind))},
+                                 {"tokens", kTokensPerItem}});
   }
   const std::string gateway = site_.PickGateway(rng_);
   auto request =
@@ -140,7 +143,7 @@
   }
 }
 
-void BatchTraffic::AskBody(const BatchRecord& job, TimePoint now) {
+void BatchTraffic::RequestBody(const BatchRecord& job, TimePoint now) {
   const ItemRecord& item = job.items[UniformBelow(rng_, job.items.size())];
   const std::string gateway = site_.PickGateway(rng_);
   http::ClientRequest request;
@@ -155,7 +158,7 @@
 }
 
 void BatchTraffic::End(BatchRecord& job, TimePoint now) {
-  if (!job.end_asked()) job.end_asked_at = now;
+  if (!job.end_requested()) job.end_requested_at = now;
   const std::string gateway = site_.PickGateway(rng_);
   http::ClientRequest request;
   request.address = site_.site().callers(gateway);
@@ -166,11 +169,11 @@
         std::move(request), now);
 }
 
-void BatchTraffic::RetryDue(TimePoint now) {
+void BatchTraffic::RetryDueSubmissions(TimePoint now) {
   while (!retries_.empty() && retries_.begin()->first <= now) {
     BatchRecord& job = jobs_.at(retries_.extract(retries_.begin()).mapped());
     if (job.accepted()) continue;
-    if (now > job.first_sent_at + kSubmitTime) {
+    if (now > job.first_sent_at + kSubmitPeriod) {
       job.given_up = true;
       continue;
     }
@@ -181,67 +184,68 @@
 void BatchTraffic::Collect(TimePoint now) {
   harness::Caller& caller = site_.site().caller();
   std::vector<std::pair<Call, http::EndEvent>> ended;
-  std::erase_if(open_, [&](const auto& entry) {
-    const harness::Answer& answer = caller.answer(entry.first);
+  std::erase_if(open_, [&](const auto& element) {
+    const harness::Answer& answer = caller.answer(element.first);
     if (!answer.end) return false;
-    ended.emplace_back(entry.second, *answer.end);
+    ended.emplace_back(element.second, *answer.end);
     return true;
   });
-  for (const auto& [call, end] : ended) OnEnd(call, end, now);
+  for (const auto& [call, end] : ended) OnCallEnd(call, end, now);
 }
 
-void BatchTraffic::OnEnd(const Call& call, const http::EndEvent& end,
-                         TimePoint now) {
+void BatchTraffic::OnCallEnd(const Call& call, const http::EndEvent& end,
+                             TimePoint now) {
   BatchRecord& job = jobs_.at(call.job);
   switch (call.kind) {
     case CallKind::kSubmit:
-      return OnSubmitted(call, job, end, now);
+      return OnSubmitResponse(call, job, end, now);
     case CallKind::kRead:
-      return OnRead(call, job, end, now);
+      return OnReadResponse(call, job, end, now);
     case CallKind::kBody:
-      return OnBody(call, job, end, now);
+      return OnBodyResponse(call, job, end, now);
     case CallKind::kEnd:
-      return OnEnded(job, end, now);
+      return OnEndResponse(job, end, now);
   }
 }
 
-void BatchTraffic::OnSubmitted(const Call& call, BatchRecord& job,
-                               const http::EndEvent& end, TimePoint now) {
-  const bool whole = end.outcome == http::ClientOutcome::kComplete;
-  if (whole && end.status == 202) {
+void BatchTraffic::OnSubmitResponse(const Call& call, BatchRecord& job,
+                                    const http::EndEvent& end, TimePoint now) {
+  const bool complete = end.outcome == http::ClientOutcome::kComplete;
+  if (complete && end.status == 202) {
     if (!job.accepted()) {
       job.accepted_at = now;
-      JudgeQuota(job, call.sent_at);
+      CheckQuota(job, call.sent_at);
     }
     return;
   }
   findings_.Check("a proper job is not denied",
-                  !whole || end.status >= 500 || RefusesJob(end.status),
+                  !complete || end.status >= 500 || RejectsJob(end.status),
                   fmt::format("{}: {}", job.id, end.status));
   const bool not_sent = end.outcome == http::ClientOutcome::kNotSent;
-  if (!not_sent && !(whole && RefusesJob(end.status))) {
+  if (!not_sent && !(complete && RejectsJob(end.status))) {
     job.maybe_accepted = true;
   }
-  retries_.emplace(now + kRetryPause, job.id);
+  retries_.emplace(now + kRetryDelay, job.id);
 }
 
-// Counted as the callers see it: items of accepted jobs whose whole run no
-// backend server has ended. Less is waiting in truth, never more.
-void BatchTraffic::JudgeQuota(const BatchRecord& accepted, TimePoint sent_at) {
+// Counts items of accepted jobs for which no backend server has completed a run
+// or returned a status. Items that wait for a retry are not counted, so this is
+// a lower bound.
+void BatchTraffic::CheckQuota(const BatchRecord& accepted, TimePoint sent_at) {
   const RunIndex runs = site_.Runs();
   uint64_t waiting = 0;
   for (const auto& [id, job] : jobs_) {
-    if (!job.accepted() || job.end_asked()) continue;
+    if (!job.accepted() || job.end_requested()) continue;
     for (const ItemRecord& item : job.items) {
       const auto& item_runs = runs.Of(item.id);
       const bool done = std::any_of(
           item_runs.begin(), item_runs.end(),
           [&](const auto* run) { return run->complete || run->status != 0; });
-      if (!done) waiting += kTokensOfItem;
+      if (!done) waiting += kTokensPerItem;
     }
   }
   const auto most =
-      static_cast<uint64_t>(kMostWaitingTokens * (1 + kQuotaOverage));
+      static_cast<uint64_t>(kMaxWaitingTokens * (1 + kQuotaOverage));
   findings_.Check("accepted tokens stay within the quota", waiting <= most,
                   fmt::format("{} tokens waiting when {} was accepted, {} ms "
                               "after it was sent",
@@ -249,13 +253,13 @@
                               ToMillis(accepted.accepted_at - sent_at)));
 }
 
-void BatchTraffic::OnRead(const Call& call, BatchRecord& job,
-                          const http::EndEvent& end, TimePoint now) {
+void BatchTraffic::OnReadResponse(const Call& call, BatchRecord& job,
+                                  const http::EndEvent& end, TimePoint now) {
   if (end.outcome != http::ClientOutcome::kComplete) return;
-  const bool settled = call.sent_at > job.accepted_at + kKnownEverywhere;
-  const bool judged =
-      settled && site_.disturbances().Calm(call.gateway, call.sent_at, now);
-  if (judged) {
+  const bool settled = call.sent_at > job.accepted_at + kPropagationTime;
+  const bool must_be_found = settled && site_.fault_windows().FaultFree(
+                                            call.gateway, call.sent_at, now);
+  if (must_be_found) {
     findings_.Check("an accepted job is found", end.status != 404,
                     fmt::format("{} at {}", job.id, call.gateway));
   }
@@ -264,11 +268,11 @@
   const json::value page = json::parse(end.body, ec);
   findings_.Check("a page of results can be read", !ec && page.is_object(),
                   job.id + ": " + end.body);
-  if (!ec && page.is_object()) TakePage(call, job, page.get_object(), now);
+  if (!ec && page.is_object()) RecordPage(call, job, page.get_object(), now);
 }
 
-void BatchTraffic::TakePage(const Call& call, BatchRecord& job,
-                            const json::object& page, TimePoint now) {
+void BatchTraffic::RecordPage(const Call& call, BatchRecord& job,
+                              const json::object& page, TimePoint now) {
   const auto& results = page.at("results").as_array();
   findings_.Check("a page counts right",
                   page.at("total").to_number<size_t>() == job.items.size() &&
@@ -276,8 +280,8 @@
                           call.position + results.size(),
                   job.id + ": " + json::serialize(page));
   size_t position = call.position;
-  for (const json::value& entry : results) {
-    const json::object& result = entry.as_object();
+  for (const json::value& element : results) {
+    const json::object& result = element.as_object();
     const json::value* output = result.if_contains("output");
     ReadResult read{.item = std::string(result.at("id").as_string()),
                     .state = std::string(result.at("state").as_string()),
@@ -294,12 +298,14 @@
                                 known->second.item, read.item));
     ++position;
   }
-  // What another caller had read for more than a second is there for all.
+  // A result that was read at one gateway must be readable at every gateway
+  // after kPropagationTime.
   const auto missing = job.results.find(position);
   if (missing == job.results.end() || !results.empty()) return;
   const bool settled =
-      call.sent_at > missing->second.read_at + kKnownEverywhere;
-  if (!settled || !site_.disturbances().Calm(call.gateway, call.sent_at, now)) {
+      call.sent_at > missing->second.read_at + kPropagationTime;
+  if (!settled ||
+      !site_.fault_windows().FaultFree(call.gateway, call.sent_at, now)) {
     return;
   }
   findings_.Check(
@@ -307,46 +313,46 @@
       fmt::format("{} position {} at {}", job.id, position, call.gateway));
 }
 
-void BatchTraffic::OnBody(const Call& call, const BatchRecord& job,
-                          const http::EndEvent& end, TimePoint now) {
+void BatchTraffic::OnBodyResponse(const Call& call, const BatchRecord& job,
+                                  const http::EndEvent& end, TimePoint now) {
   if (end.outcome != http::ClientOutcome::kComplete) return;
   const auto item =
       std::find_if(job.items.begin(), job.items.end(),
                    [&](const auto& known) { return known.id == call.item; });
   if (end.status == 200) {
     findings_.Check("a body comes back unchanged",
-                    end.body == BodyOf(item->nature), call.item);
+                    end.body == BodyOf(item->kind), call.item);
   }
   const RunIndex all_runs = site_.Runs();
   const auto& runs = all_runs.Of(call.item);
-  const bool may_be_gone =
-      job.end_asked() || std::any_of(runs.begin(), runs.end(), [](auto* run) {
-        return run->complete || run->status != 0;
-      });
-  const bool settled = call.sent_at > job.accepted_at + kKnownEverywhere;
+  const bool may_be_gone = job.end_requested() ||
+                           std::any_of(runs.begin(), runs.end(), [](auto* run) {
+                             return run->complete || run->status != 0;
+                           });
+  const bool settled = call.sent_at > job.accepted_at + kPropagationTime;
   if (may_be_gone || !settled || now > job.first_sent_at + kItemLifetime ||
-      !site_.disturbances().Calm(call.gateway, call.sent_at, now)) {
+      !site_.fault_windows().FaultFree(call.gateway, call.sent_at, now)) {
     return;
   }
   findings_.Check("a waiting item's body is found", end.status != 404,
                   call.item + " at " + call.gateway);
 }
 
-void BatchTraffic::OnEnded(BatchRecord& job, const http::EndEvent& end,
-                           TimePoint now) {
+void BatchTraffic::OnEndResponse(BatchRecord& job, const http::EndEvent& end,
+                                 TimePoint now) {
   const bool acknowledged =
       end.outcome == http::ClientOutcome::kComplete && end.status == 200;
   if (acknowledged) {
     job.ended_at = std::min(job.ended_at, now);
     return;
   }
-  if (now < job.end_asked_at + kSubmitTime) End(job, now);
+  if (now < job.end_requested_at + kSubmitPeriod) End(job, now);
 }
 
 bool BatchTraffic::AllListed() const {
-  return std::all_of(jobs_.begin(), jobs_.end(), [](const auto& entry) {
-    const BatchRecord& job = entry.second;
-    return !job.accepted() || job.end_asked() ||
+  return std::all_of(jobs_.begin(), jobs_.end(), [](const auto& element) {
+    const BatchRecord& job = element.second;
+    return !job.accepted() || job.end_requested() ||
            job.results.size() == job.items.size();
   });
 }
--- a/tests/soak/batch_traffic.h
+++ b/tests/soak/batch_traffic.h
@@ -15,25 +15,26 @@
 
 namespace knapweedstile::soak {
 
-// Callers of batch jobs: they send a job until it is accepted or refused for
-// good, read results at any gateway and from any position, ask for bodies and
-// end some jobs.
+// Simulates callers of batch jobs: submits each job until it is accepted or its
+// submit period is over, reads results from any gateway and position, requests
+// item bodies and ends some jobs.
 class BatchTraffic {
  public:
   BatchTraffic(SoakSite& site, uint64_t seed, Findings& findings);
 
   void Run(TimePoint now);
-  // No new jobs; those that there are go on being read.
+  // Stops creating jobs; results of existing jobs are still read.
   void StopSubmitting() { submitting_ = false; }
   void SubmitBurst(int jobs, TimePoint now);
-  // Reads each accepted job from its start at this gateway.
+  // Reads the results of each accepted job from the first position at
+  // `gateway`.
   void ReadAll(const std::string& gateway, TimePoint now);
 
   const std::map<std::string, BatchRecord>& jobs() const noexcept {
     return jobs_;
   }
   size_t open() const noexcept { return open_.size(); }
-  // Whether each accepted job that was not ended has been read to its end.
+  // Whether all results of each accepted job that was not ended have been read.
   bool AllListed() const;
 
  private:
@@ -43,9 +44,9 @@
     std::string job;
     std::string gateway;
     TimePoint sent_at{};
-    size_t position = 0;  // of a read
-    std::string item;     // of a body
-    bool listed = false;  // the item was listed when its body was asked for
+    size_t position = 0;  // for kRead
+    std::string item;     // for kBody
+    bool listed = false;  // the item was listed when its body was requested
   };
 
   void Begin(Call&& call, http::ClientRequest&& request, TimePoint now);
@@ -53,23 +54,24 @@
   void Submit(const BatchRecord& job, TimePoint now);
   void Read(const BatchRecord& job, const std::string& gateway, size_t position,
             TimePoint now);
-  void AskBody(const BatchRecord& job, TimePoint now);
+  void RequestBody(const BatchRecord& job, TimePoint now);
   void End(BatchRecord& job, TimePoint now);
-  void RetryDue(TimePoint now);
+  void RetryDueSubmissions(TimePoint now);
 
   void Collect(TimePoint now);
-  void OnEnd(const Call& call, const http::EndEvent& end, TimePoint now);
-  void OnSubmitted(const Call& call, BatchRecord& job,
-                   const http::EndEvent& end, TimePoint now);
-  void OnRead(const Call& call, BatchRecord& job, const http::EndEvent& end,
-              TimePoint now);
-  void TakePage(const Call& call, BatchRecord& job,
-                const boost::json::object& page, TimePoint now);
-  void OnBody(const Call& call, const BatchRecord& job,
-              const http::EndEvent& end, TimePoint now);
-  void OnEnded(BatchRecord& job, const http::EndEvent& end, TimePoint now);
-  void JudgeQuota(const BatchRecord& job, TimePoint sent_at);
-  BatchRecord* PickAccepted();
+  void OnCallEnd(const Call& call, const http::EndEvent& end, TimePoint now);
+  void OnSubmitResponse(const Call& call, BatchRecord& job,
+                        const http::EndEvent& end, TimePoint now);
+  void OnReadResponse(const Call& call, BatchRecord& job,
+                      const http::EndEvent& end, TimePoint now);
+  void RecordPage(const Call& call, BatchRecord& job,
+                  const boost::json::object& page, TimePoint now);
+  void OnBodyResponse(const Call& call, const BatchRecord& job,
+                      const http::EndEvent& end, TimePoint now);
+  void OnEndResponse(BatchRecord& job, const http::EndEvent& end,
+                     TimePoint now);
+  void CheckQuota(const BatchRecord& job, TimePoint sent_at);
+  BatchRecord* PickAcceptedJob();
 
   SoakSite& site_;
   Rng rng_;
@@ -77,9 +79,9 @@
   bool submitting_ = true;
   TimePoint next_job_at_{};
   TimePoint next_read_at_{};
-  uint64_t last_ = 0;
+  uint64_t last_job_ = 0;
   std::map<std::string, BatchRecord> jobs_;
-  std::multimap<TimePoint, std::string> retries_;  // submissions
+  std::multimap<TimePoint, std::string> retries_;  // job ids by retry time
   std::map<ExchangeId, Call> open_;
 };
 
--- a/tests/soak/fault_driver.cc
+++ b/tests/soak/fault_driver.cc
@@ -15,17 +15,18 @@
 using users_site::ObjectStore;
 
 constexpr milliseconds kLinkDelay{150};
-constexpr uint64_t kLongestJump = 90;  // seconds
-constexpr uint64_t kMostFaultyAnswers = 4;
-constexpr uint64_t kMostLostWrites = 6;
-constexpr int kBurst = 50;  // jobs, more than the quota takes
-// A server that misbehaves does so for its next requests, soon after.
-constexpr milliseconds kServerFaultTime{2000};
-// A silent connection shows only after the time-outs of both ends.
-constexpr milliseconds kSilenceShows{6000};
-
-int LostWrites(const PlannedFault& fault) {
-  return 1 + static_cast<int>(fault.strength % kMostLostWrites);
+constexpr uint64_t kMaxClockJumpSeconds = 90;
+constexpr uint64_t kMaxFaultyResponses = 4;
+constexpr uint64_t kMaxAffectedWrites = 6;
+constexpr int kBurstJobs = 50;  // exceeds the quota
+// A faulty server misbehaves for its next requests, which arrive within this
+// time.
+constexpr milliseconds kServerFaultWindow{2000};
+// A silent connection is detected only after the timeouts of both ends.
+constexpr milliseconds kSilenceDetectionTime{6000};
+
+int AffectedWrites(const PlannedFault& fault) {
+  return 1 + static_cast<int>(fault.strength % kMaxAffectedWrites);
 }
 
 Fault LinkFault(FaultKind kind) {
@@ -56,10 +57,10 @@
     : site_(site), batch_(batch), plan_(std::move(plan)) {}
 
 void FaultDriver::Run(milliseconds elapsed, TimePoint now) {
-  while (!done() && plan_[next_].at <= elapsed) Strike(plan_[next_++], now);
+  while (!done() && plan_[next_].at <= elapsed) Inject(plan_[next_++], now);
 }
 
-void FaultDriver::Strike(const PlannedFault& fault, TimePoint now) {
+void FaultDriver::Inject(const PlannedFault& fault, TimePoint now) {
   ++counts_[std::string(NameOf(fault.kind))];
   const std::string& gateway =
       site_.gateways()[fault.target % site_.gateways().size()];
@@ -73,18 +74,18 @@
     case FaultKind::kReloadGateway:
       return site_.site().process(gateway).Signal(SIGHUP);
     case FaultKind::kBurstOfJobs:
-      return batch_.SubmitBurst(kBurst, now);
+      return batch_.SubmitBurst(kBurstJobs, now);
     case FaultKind::kKillGateway:
     case FaultKind::kKillAllGateways:
     case FaultKind::kPauseGateway:
     case FaultKind::kJumpClock:
-      return StrikeGateway(fault, now);
+      return InjectGatewayFault(fault, now);
     case FaultKind::kStoreBusy:
     case FaultKind::kStoreSilent:
     case FaultKind::kStoreLosesAnswers:
     case FaultKind::kStoreWritesLate:
     case FaultKind::kStoreForgetsHistory:
-      return StrikeStore(fault, now);
+      return InjectStoreFault(fault, now);
     case FaultKind::kDrainServer:
     case FaultKind::kServerRefuses:
     case FaultKind::kServerFails:
@@ -94,66 +95,68 @@
     case FaultKind::kServerRestarts:
     case FaultKind::kServerAddressReused:
     case FaultKind::kServerVanishes:
-      return StrikeServer(fault, now);
+      return InjectServerFault(fault, now);
     default:
-      return StrikeLink(fault, now);
+      return InjectLinkFault(fault, now);
   }
 }
 
-void FaultDriver::StrikeGateway(const PlannedFault& fault, TimePoint now) {
+void FaultDriver::InjectGatewayFault(const PlannedFault& fault, TimePoint now) {
   const auto& gateways = site_.gateways();
   const std::string& gateway = gateways[fault.target % gateways.size()];
-  Disturbances& disturbances = site_.disturbances();
+  FaultWindows& fault_windows = site_.fault_windows();
   switch (fault.kind) {
     case FaultKind::kKillAllGateways:
-      disturbances.Add("", now, now + kServerFaultTime);
+      fault_windows.Add("", now, now + kServerFaultWindow);
       for (const std::string& each : gateways) site_.Kill(each);
       return;
     case FaultKind::kKillGateway:
-      disturbances.Add("", now, now + kServerFaultTime);
+      fault_windows.Add("", now, now + kServerFaultWindow);
       return site_.Kill(gateway);
     case FaultKind::kPauseGateway:
-      return Pause(gateway, fault, now);
+      return PauseGateway(gateway, fault, now);
     default: {
-      const int jump = static_cast<int>(fault.strength % (2 * kLongestJump)) -
-                       static_cast<int>(kLongestJump);
-      return site_.JumpClock(gateway, jump);
+      const int jump =
+          static_cast<int>(fault.strength % (2 * kMaxClockJumpSeconds)) -
+          static_cast<int>(kMaxClockJumpSeconds);
+      return site_.SetClockOffset(gateway, jump);
     }
   }
 }
 
-void FaultDriver::Pause(const std::string& gateway, const PlannedFault& fault,
-                        TimePoint now) {
-  const TimePoint until = now + fault.lasts;
+void FaultDriver::PauseGateway(const std::string& gateway,
+                               const PlannedFault& fault, TimePoint now) {
+  const TimePoint until = now + fault.duration;
   paused_until_[gateway] = std::max(paused_until_[gateway], until);
-  // Other gateways notice a silent one, too.
-  site_.disturbances().Add("", now, until);
+  // A paused gateway affects its peers, too.
+  site_.fault_windows().Add("", now, until);
   site_.site().process(gateway).Pause();
-  site_.Later(until, [this, gateway] {
+  site_.RunAt(until, [this, gateway] {
     if (MonotonicNow() < paused_until_[gateway]) return;
     site_.site().process(gateway).Resume();
   });
 }
 
-void FaultDriver::Link(const std::string& who, const std::string& scope,
-                       const Fault& link_fault, const PlannedFault& fault,
-                       TimePoint now) {
-  harness::Proxy* proxy = site_.ProxyOf(who);
+void FaultDriver::ApplyLinkFault(const std::string& link,
+                                 const std::string& scope,
+                                 const Fault& link_fault,
+                                 const PlannedFault& fault, TimePoint now) {
+  harness::Proxy* proxy = site_.ProxyOf(link);
   if (!proxy) return;
   proxy->Strike(link_fault);
   if (link_fault.for_good) {
-    site_.disturbances().Add(scope, now, now + kSilenceShows);
+    site_.fault_windows().Add(scope, now, now + kSilenceDetectionTime);
     return;
   }
-  const TimePoint until = now + fault.lasts;
-  link_until_[who] = std::max(link_until_[who], until);
-  site_.disturbances().Add(scope, now, until);
-  site_.Later(until, [this, proxy, who] {
-    if (MonotonicNow() >= link_until_[who]) proxy->Strike({});
+  const TimePoint until = now + fault.duration;
+  link_fault_until_[link] = std::max(link_fault_until_[link], until);
+  site_.fault_windows().Add(scope, now, until);
+  site_.RunAt(until, [this, proxy, link] {
+    if (MonotonicNow() >= link_fault_until_[link]) proxy->Strike({});
   });
 }
 
-void FaultDriver::StrikeLink(const PlannedFault& fault, TimePoint now) {
+void FaultDriver::InjectLinkFault(const PlannedFault& fault, TimePoint now) {
   const auto& gateways = site_.gateways();
   const std::string& gateway = gateways[fault.target % gateways.size()];
   const Fault link_fault = LinkFault(fault.kind);
@@ -164,26 +167,29 @@
     case FaultKind::kDelayServerLink: {
       const auto& servers = site_.servers();
       const ModelServer& server = *servers[fault.target % servers.size()];
-      return Link("server/" + server.address(), "", link_fault, fault, now);
+      return ApplyLinkFault("server/" + server.address(), "", link_fault, fault,
+                            now);
     }
     case FaultKind::kCutCallerLink:
     case FaultKind::kFreezeCallerLink:
-      return Link("callers/" + gateway, gateway, link_fault, fault, now);
+      return ApplyLinkFault("callers/" + gateway, gateway, link_fault, fault,
+                            now);
     default:
-      // A gateway that does not reach the store changes what others do.
-      return Link("store/" + gateway, "", link_fault, fault, now);
+      // A gateway that cannot reach the store changes the behavior of its
+      // peers.
+      return ApplyLinkFault("store/" + gateway, "", link_fault, fault, now);
   }
 }
 
-void FaultDriver::StrikeStore(const PlannedFault& fault, TimePoint now) {
+void FaultDriver::InjectStoreFault(const PlannedFault& fault, TimePoint now) {
   ObjectStore& store = site_.site().store();
-  const TimePoint until = now + fault.lasts;
-  site_.disturbances().Add("", now, until);
+  const TimePoint until = now + fault.duration;
+  site_.fault_windows().Add("", now, until);
   switch (fault.kind) {
     case FaultKind::kStoreLosesAnswers:
-      return store.LoseAnswers(LostWrites(fault));
+      return store.LoseAnswers(AffectedWrites(fault));
     case FaultKind::kStoreWritesLate:
-      return store.RunLate(LostWrites(fault), fault.lasts);
+      return store.RunLate(AffectedWrites(fault), fault.duration);
     case FaultKind::kStoreForgetsHistory:
       return store.ForgetHistory();
     default:
@@ -192,22 +198,22 @@
   store.SetHealth(fault.kind == FaultKind::kStoreBusy
                       ? ObjectStore::Health::kBusy
                       : ObjectStore::Health::kSilent);
-  store_until_ = std::max(store_until_, until);
-  site_.Later(until, [this, &store] {
-    if (MonotonicNow() < store_until_) return;
+  store_fault_until_ = std::max(store_fault_until_, until);
+  site_.RunAt(until, [this, &store] {
+    if (MonotonicNow() < store_fault_until_) return;
     store.SetHealth(ObjectStore::Health::kGood);
   });
 }
 
-void FaultDriver::StrikeServer(const PlannedFault& fault, TimePoint now) {
+void FaultDriver::InjectServerFault(const PlannedFault& fault, TimePoint now) {
   const auto& servers = site_.servers();
   ModelServer& server = *servers[fault.target % servers.size()];
-  const int count = 1 + static_cast<int>(fault.strength % kMostFaultyAnswers);
+  const int count = 1 + static_cast<int>(fault.strength % kMaxFaultyResponses);
   if (fault.kind == FaultKind::kDrainServer) return site_.Drain(server, now);
   if (fault.kind == FaultKind::kServerVanishes) {
-    return site_.Vanish(server, now);
+    return site_.RemoveWithoutDraining(server, now);
   }
-  site_.disturbances().Add("", now, now + kServerFaultTime);
+  site_.fault_windows().Add("", now, now + kServerFaultWindow);
   switch (fault.kind) {
     case FaultKind::kServerRefuses:
       server.refuse_next += count;
@@ -229,9 +235,9 @@
   }
 }
 
-void FaultDriver::Heal(TimePoint now) {
-  for (const auto& [who, until] : link_until_) {
-    if (until > now) site_.ProxyOf(who)->Strike({});
+void FaultDriver::ClearFaults(TimePoint now) {
+  for (const auto& [link, until] : link_fault_until_) {
+    if (until > now) site_.ProxyOf(link)->Strike({});
   }
   for (const auto& [gateway, until] : paused_until_) {
     if (until > now) site_.site().process(gateway).Resume();
--- a/tests/soak/fault_driver.h
+++ b/tests/soak/fault_driver.h
@@ -12,41 +12,42 @@
 
 namespace knapweedstile::soak {
 
-// Carries a plan of faults out on the deployment.
+// Injects planned faults into the deployment.
 class FaultDriver {
  public:
   FaultDriver(SoakSite& site, BatchTraffic& batch,
               std::vector<PlannedFault> plan);
 
-  // What is due `elapsed` after the traffic began.
+  // Injects every fault that is due `elapsed` after traffic started.
   void Run(std::chrono::milliseconds elapsed, TimePoint now);
   bool done() const noexcept { return next_ == plan_.size(); }
-  // Ends every fault that is still in force.
-  void Heal(TimePoint now);
-  // How often each kind struck.
+  // Ends every fault that is still active.
+  void ClearFaults(TimePoint now);
+  // Number of injected faults by kind.
   const std::map<std::string, int>& counts() const noexcept { return counts_; }
 
  private:
-  void Strike(const PlannedFault& fault, TimePoint now);
-  void StrikeGateway(const PlannedFault& fault, TimePoint now);
-  void StrikeLink(const PlannedFault& fault, TimePoint now);
-  void StrikeStore(const PlannedFault& fault, TimePoint now);
-  void StrikeServer(const PlannedFault& fault, TimePoint now);
-  void Link(const std::string& who, const std::string& scope,
-            const harness::Fault& link_fault, const PlannedFault& fault,
-            TimePoint now);
-  void Pause(const std::string& gateway, const PlannedFault& fault,
-             TimePoint now);
+  void Inject(const PlannedFault& fault, TimePoint now);
+  void InjectGatewayFault(const PlannedFault& fault, TimePoint now);
+  void InjectLinkFault(const PlannedFault& fault, TimePoint now);
+  void InjectStoreFault(const PlannedFault& fault, TimePoint now);
+  void InjectServerFault(const PlannedFault& fault, TimePoint now);
+  void ApplyLinkFault(const std::string& link, const std::string& scope,
+                      const harness::Fault& link_fault,
+                      const PlannedFault& fault, TimePoint now);
+  void PauseGateway(const std::string& gateway, const PlannedFault& fault,
+                    TimePoint now);
 
   SoakSite& site_;
   BatchTraffic& batch_;
   std::vector<PlannedFault> plan_;
   size_t next_ = 0;
   std::map<std::string, int> counts_;
-  // Faults that overlap: the last one to end heals.
-  std::map<std::string, TimePoint> link_until_;
+  // End of each active fault. Of overlapping faults on the same target, the one
+  // that ends last restores normal operation.
+  std::map<std::string, TimePoint> link_fault_until_;
   std::map<std::string, TimePoint> paused_until_;
-  TimePoint store_until_{};
+  TimePoint store_fault_until_{};
 };
 
 }  // namespace knapweedstile::soak
--- a/tests/soak/fault_kind.h
+++ b/tests/soak/fault_kind.h
@@ -9,15 +9,15 @@
 
 namespace knapweedstile::soak {
 
-// What the soak does to the deployment. Planned work comes first: what
-// operators do every day, during which nothing at all may go wrong.
+// Operations and faults that the test applies to the deployment. Routine
+// operations come first; no request may fail because of them.
 enum class FaultKind : uint8_t {
   kChangeConfiguration,
   kDrainServer,
   kStopGateway,
   kReloadGateway,
   kAddServer,
-  // Unplanned from here on.
+  // Unplanned faults follow.
   kKillGateway,
   kKillAllGateways,
   kPauseGateway,
--- a/tests/soak/fault_plan.cc
+++ b/tests/soak/fault_plan.cc
@@ -11,14 +11,14 @@
 
 constexpr uint64_t kKinds = kEnumNames<FaultKind>.size();
 constexpr auto kPlannedKinds = static_cast<uint64_t>(kFirstUnplanned);
-constexpr milliseconds kShortest{300};
-constexpr milliseconds kLongest{5000};
-// The mean pause between two faults: as most last longer, they overlap.
-constexpr milliseconds kMeanPause{900};
-constexpr milliseconds kPlannedPause{1400};
-// One fault in so many is repeated, up to kLongestSeries times.
-constexpr uint64_t kSeriesShare = 4;
-constexpr uint64_t kLongestSeries = 4;
+constexpr milliseconds kMinDuration{300};
+constexpr milliseconds kMaxDuration{5000};
+// Mean interval between faults. Most faults last longer, so they overlap.
+constexpr milliseconds kMeanInterval{900};
+constexpr milliseconds kPlannedInterval{1400};
+// One in kFaultsPerSeries faults becomes a series of up to kMaxSeriesLength.
+constexpr uint64_t kFaultsPerSeries = 4;
+constexpr uint64_t kMaxSeriesLength = 4;
 
 milliseconds Between(Rng& rng, milliseconds least, milliseconds most) {
   const auto width = static_cast<uint64_t>((most - least).count());
@@ -28,7 +28,7 @@
 PlannedFault Draw(Rng& rng, milliseconds at, uint64_t kinds) {
   return {.at = at,
           .kind = static_cast<FaultKind>(UniformBelow(rng, kinds)),
-          .lasts = Between(rng, kShortest, kLongest),
+          .duration = Between(rng, kMinDuration, kMaxDuration),
           .target = rng(),
           .strength = rng()};
 }
@@ -38,25 +38,25 @@
 std::vector<PlannedFault> MakeFaultPlan(uint64_t seed, const SoakSize& size) {
   Rng rng(seed);
   std::vector<PlannedFault> plan;
-  milliseconds at = Between(rng, milliseconds(500), kPlannedPause);
+  milliseconds at = Between(rng, milliseconds(500), kPlannedInterval);
   while (at < size.planned_phase) {
     plan.push_back(Draw(rng, at, kPlannedKinds));
-    at += Between(rng, kPlannedPause / 2, kPlannedPause * 2);
+    at += Between(rng, kPlannedInterval / 2, kPlannedInterval * 2);
   }
   const milliseconds end = size.planned_phase + size.fault_phase;
   at = std::max(at, size.planned_phase);
   while (at < end) {
     PlannedFault fault = Draw(rng, at, kKinds);
-    const uint64_t repeats = UniformBelow(rng, kSeriesShare) == 0
-                                 ? 1 + UniformBelow(rng, kLongestSeries)
+    const uint64_t repeats = UniformBelow(rng, kFaultsPerSeries) == 0
+                                 ? 1 + UniformBelow(rng, kMaxSeriesLength)
                                  : 1;
     for (uint64_t i = 0; i < repeats && fault.at < end; ++i) {
       plan.push_back(fault);
-      fault.at += Between(rng, kShortest, kMeanPause);
-      // A series strikes the same place or moves on.
+      fault.at += Between(rng, kMinDuration, kMeanInterval);
+      // Half of the repeats hit a new target.
       if (UniformBelow(rng, 2) == 0) fault.target = rng();
     }
-    at += Between(rng, milliseconds(0), kMeanPause * 2);
+    at += Between(rng, milliseconds(0), kMeanInterval * 2);
   }
   std::stable_sort(plan.begin(), plan.end(),
                    [](const auto& a, const auto& b) { return a.at < b.at; });
--- a/tests/soak/fault_plan.h
+++ b/tests/soak/fault_plan.h
@@ -9,8 +9,8 @@
 
 namespace knapweedstile::soak {
 
-// The whole schedule of one run, by time: first planned work only, then faults
-// of every kind, alone, in series and overlapping.
+// Returns the schedule of one run, sorted by time: routine operations first,
+// then all kinds of faults, alone, in series and overlapping.
 std::vector<PlannedFault> MakeFaultPlan(uint64_t seed, const SoakSize& size);
 
 }  // namespace knapweedstile::soak
--- a/tests/soak/findings.h
+++ b/tests/soak/findings.h
@@ -8,19 +8,21 @@
 
 namespace knapweedstile::soak {
 
-// Broken promises in words, and how often each promise was put to the test.
+// Descriptions of broken promises, and the number of checks of each promise.
 class Findings {
  public:
-  // One judgement of `promise`.
+  // Records one check of `promise`; `what` describes a violation.
   void Check(std::string_view promise, bool kept, const std::string& what) {
-    ++judged_[std::string(promise)];
+    ++check_counts_[std::string(promise)];
     if (!kept) broken_.push_back(std::string(promise) + ": " + what);
   }
   const std::vector<std::string>& broken() const noexcept { return broken_; }
-  const std::map<std::string, int>& judged() const noexcept { return judged_; }
+  const std::map<std::string, int>& check_counts() const noexcept {
+    return check_counts_;
+  }
 
  private:
-  std::map<std::string, int> judged_;
+  std::map<std::string, int> check_counts_;
   std::vector<std::string> broken_;
 };
 
--- a/tests/soak/online_judge.cc
+++ b/tests/soak/online_checker.cc
@@ -1,4 +1,4 @@
-#include "online_judge.h"
+#include "online_checker.h"
 
 #include <fmt/format.h>
 
@@ -11,25 +11,25 @@
 
 using std::chrono::milliseconds;
 
-// Bounds of the deployment.
-constexpr milliseconds kAnswerBound{500};  // after the deadline
+// Time bounds that the deployment promises.
+constexpr milliseconds kResponseBound{500};  // after the deadline
 constexpr milliseconds kCancelBound{500};
 constexpr milliseconds kDrainBound{2000};
-constexpr milliseconds kLossBound{200};
-constexpr milliseconds kRegressBound{250};
+constexpr milliseconds kConnectionLossBound{200};
+constexpr milliseconds kConfigurationOrderBound{250};
 constexpr milliseconds kStreamTimeout{3000};
-constexpr milliseconds kPlainTimeout{2000};
-constexpr size_t kMostAttempts = 2;
+constexpr milliseconds kUnaryTimeout{2000};
+constexpr size_t kMaxAttempts = 2;
 
-// Statuses that promise that the request has not run and never will.
+// Statuses that promise that the request has not run and will not run.
 bool PromisesNotRun(unsigned status) {
   return status == 503 || status == 429 || status == 408 || status == 421;
 }
 
-// How long the request may be kept.
-milliseconds LimitOf(const OnlineRequest& request) {
+// Time from sending the request to its deadline.
+milliseconds TimeLimitOf(const OnlineRequest& request) {
   return std::min(request.budget,
-                  request.plain() ? kPlainTimeout : kStreamTimeout);
+                  request.unary() ? kUnaryTimeout : kStreamTimeout);
 }
 
 std::string Describe(const OnlineRequest& request) {
@@ -37,41 +37,42 @@
       "{} {} at {}: {} {} {} after {} of {} ms", request.id, request.target,
       request.gateway, NameOf(request.end.outcome), request.end.status,
       request.end.message, ToMillis(request.ended_at - request.sent_at),
-      LimitOf(request).count());
+      TimeLimitOf(request).count());
 }
 
 }  // namespace
 
-OnlineJudge::OnlineJudge(const RunIndex& runs, const Disturbances& disturbances,
-                         const OperationsLog& operations, int events,
-                         milliseconds slack, Findings& findings)
+OnlineChecker::OnlineChecker(const RunIndex& runs,
+                             const FaultWindows& fault_windows,
+                             const OperationsLog& operations, int events,
+                             milliseconds slack, Findings& findings)
     : runs_(runs),
-      disturbances_(disturbances),
+      fault_windows_(fault_windows),
       operations_(operations),
       events_(events),
       slack_(slack),
       findings_(findings) {}
 
-void OnlineJudge::Judge(const std::vector<OnlineRequest>& requests) {
+void OnlineChecker::Check(const std::vector<OnlineRequest>& requests) {
   for (const OnlineRequest& request : requests) {
-    JudgeRuns(request);
-    JudgeDrain(request);
+    CheckRuns(request);
+    CheckDrain(request);
     if (request.cancelled()) {
-      JudgeCancel(request);
+      CheckCancellation(request);
       continue;
     }
-    JudgeAnswer(request);
-    JudgeRefusal(request);
-    JudgeTime(request);
-    JudgeStop(request);
-    if (request.kind == OnlineKind::kExtra) JudgeRoute(request);
+    CheckResponse(request);
+    CheckRejection(request);
+    CheckDeadline(request);
+    CheckPlannedStop(request);
+    if (request.kind == OnlineKind::kExtra) CheckRoute(request);
   }
-  JudgeRegress(requests);
+  CheckConfigurationOrder(requests);
 }
 
-void OnlineJudge::JudgeRuns(const OnlineRequest& request) {
+void OnlineChecker::CheckRuns(const OnlineRequest& request) {
   const auto& runs = runs_.Of(request.id);
-  const size_t most = request.repeatable() ? kMostAttempts : 1;
+  const size_t most = request.repeatable() ? kMaxAttempts : 1;
   findings_.Check(
       "runs no more often than allowed", runs.size() <= most,
       fmt::format("{} ran {} times", Describe(request), runs.size()));
@@ -83,8 +84,8 @@
   }
 }
 
-std::string OnlineJudge::WholeBody(const OnlineRequest& request) const {
-  if (request.plain()) return "plain answer of " + request.id;
+std::string OnlineChecker::CompleteBody(const OnlineRequest& request) const {
+  if (request.unary()) return "plain answer of " + request.id;
   std::string body;
   for (int event = 1; event <= events_; ++event) {
     body += fmt::format("id: {}\ndata: word {} of {}\n\n", event, event,
@@ -93,13 +94,13 @@
   return body;
 }
 
-void OnlineJudge::JudgeAnswer(const OnlineRequest& request) {
+void OnlineChecker::CheckResponse(const OnlineRequest& request) {
   const auto& end = request.end;
   const auto& runs = runs_.Of(request.id);
   if (end.status / 100 == 2) {
-    const std::string body = WholeBody(request);
+    const std::string body = CompleteBody(request);
     findings_.Check("a whole answer is the caller's own",
-                    !request.whole() || end.body == body,
+                    !request.complete() || end.body == body,
                     Describe(request) + " got: " + end.body);
     findings_.Check("a cut answer holds nothing foreign",
                     body.starts_with(end.body),
@@ -123,7 +124,7 @@
                                                    }),
                   Describe(request));
   const bool denied = end.status / 100 == 4 && !PromisesNotRun(end.status);
-  // Keys that came or went meanwhile are judged apart (workspace_judge.h).
+  // WorkspaceChecker checks keys that were added or removed during the request.
   if (!operations_.KeyInEach(request.key, true, request.sent_at,
                              request.ended_at, slack_)) {
     return;
@@ -134,65 +135,69 @@
       Describe(request));
 }
 
-void OnlineJudge::JudgeRefusal(const OnlineRequest& request) {
-  if (!request.whole() || !PromisesNotRun(request.end.status)) return;
+void OnlineChecker::CheckRejection(const OnlineRequest& request) {
+  if (!request.complete() || !PromisesNotRun(request.end.status)) return;
   findings_.Check("not run is true", runs_.Of(request.id).empty(),
                   fmt::format("{} ran {} times", Describe(request),
                               runs_.Of(request.id).size()));
 }
 
-void OnlineJudge::JudgeTime(const OnlineRequest& request) {
-  if (!disturbances_.Calm(request.gateway, request.sent_at, request.ended_at)) {
+void OnlineChecker::CheckDeadline(const OnlineRequest& request) {
+  if (!fault_windows_.FaultFree(request.gateway, request.sent_at,
+                                request.ended_at)) {
     return;
   }
-  const milliseconds limit = LimitOf(request);
+  const milliseconds limit = TimeLimitOf(request);
   const auto age = request.ended_at - request.sent_at;
   findings_.Check("an answer comes by its deadline",
-                  age <= limit + kAnswerBound + slack_, Describe(request));
+                  age <= limit + kResponseBound + slack_, Describe(request));
 }
 
-void OnlineJudge::JudgeCancel(const OnlineRequest& request) {
+void OnlineChecker::CheckCancellation(const OnlineRequest& request) {
   const TimePoint bound = request.cancelled_at + kCancelBound + slack_;
-  if (!disturbances_.Calm(request.gateway, request.sent_at, bound)) return;
+  if (!fault_windows_.FaultFree(request.gateway, request.sent_at, bound))
+    return;
   for (const auto* run : runs_.Of(request.id)) {
     const bool left =
-        run->ended_at <= bound || run->status != 0 || request.plain();
+        run->ended_at <= bound || run->status != 0 || request.unary();
     findings_.Check("a cancelled request ends at its server",
                     left && run->began_at <= bound, Describe(request));
   }
 }
 
-void OnlineJudge::JudgeStop(const OnlineRequest& request) {
+void OnlineChecker::CheckPlannedStop(const OnlineRequest& request) {
   for (const OperationsLog::Stop& stop : operations_.stops) {
     const bool concerned = stop.gateway == request.gateway &&
-                           request.ended_at >= stop.asked_at &&
+                           request.ended_at >= stop.requested_at &&
                            request.sent_at <= stop.ended_at;
-    if (!concerned ||
-        !disturbances_.CalmEverywhere(request.sent_at, request.ended_at)) {
+    if (!concerned || !fault_windows_.FaultFreeEverywhere(request.sent_at,
+                                                          request.ended_at)) {
       continue;
     }
     const bool ran = !runs_.Of(request.id).empty();
-    const bool late = request.ended_at - request.sent_at > kLossBound + slack_;
-    // What is cut at its own deadline is not cut by the stop.
+    const bool late =
+        request.ended_at - request.sent_at > kConnectionLossBound + slack_;
+    // A request that ended at its own deadline was not cut by the stop.
     const bool cut = request.end.outcome == http::ClientOutcome::kLost &&
-                     request.ended_at < request.sent_at + LimitOf(request);
+                     request.ended_at < request.sent_at + TimeLimitOf(request);
     findings_.Check("a planned stop cuts no request", !cut || (!ran && !late),
                     Describe(request));
   }
 }
 
-// Whether the route is `present` in every configuration that may be in force
-// between the two moments.
-bool OnlineJudge::RouteInEach(const std::string& route, bool present,
-                              TimePoint from, TimePoint until) const {
+// Whether the route's presence equals `present` in every configuration that may
+// be in force between `from` and `until`.
+bool OnlineChecker::RouteInEach(const std::string& route, bool present,
+                                TimePoint from, TimePoint until) const {
   return operations_.InEach(from, until, slack_, [&](const auto& version) {
     return version.extra_routes.contains(route) == present;
   });
 }
 
-void OnlineJudge::JudgeRoute(const OnlineRequest& request) {
-  if (!request.whole() ||
-      !disturbances_.Calm(request.gateway, request.sent_at, request.ended_at)) {
+void OnlineChecker::CheckRoute(const OnlineRequest& request) {
+  if (!request.complete() ||
+      !fault_windows_.FaultFree(request.gateway, request.sent_at,
+                                request.ended_at)) {
     return;
   }
   const bool absent = request.end.status == 404;
@@ -206,22 +211,25 @@
   }
 }
 
-// Each extra route is added once and removed once: at one process its answers
-// may go from 404 to served to 404, never back.
-void OnlineJudge::JudgeRegress(const std::vector<OnlineRequest>& requests) {
+// Each extra route is added once and removed once. Responses of one gateway
+// process may therefore change from 404 to 200 and back to 404 only once.
+void OnlineChecker::CheckConfigurationOrder(
+    const std::vector<OnlineRequest>& requests) {
   struct Seen {
     TimePoint served_at = kNever;   // first
     TimePoint removed_at = kNever;  // first 404 after it was removed
   };
   std::map<std::pair<std::string, std::string>, Seen> seen;
   for (const OnlineRequest& request : requests) {
-    if (request.kind != OnlineKind::kExtra || !request.whole()) continue;
-    Seen& route = seen[{request.gateway + "#" + std::to_string(request.start),
-                        request.route}];
+    if (request.kind != OnlineKind::kExtra || !request.complete()) continue;
+    Seen& route =
+        seen[{request.gateway + "#" + std::to_string(request.process_start),
+              request.route}];
     const bool absent = request.end.status == 404;
     const bool served = request.end.status == 200;
     const auto after = [&](TimePoint event) {
-      return event != kNever && request.sent_at > event + kRegressBound;
+      return event != kNever &&
+             request.sent_at > event + kConfigurationOrderBound;
     };
     if (absent &&
         RouteInEach(request.route, true, request.sent_at, request.ended_at)) {
@@ -238,11 +246,12 @@
   }
 }
 
-void OnlineJudge::JudgeDrain(const OnlineRequest& request) {
+void OnlineChecker::CheckDrain(const OnlineRequest& request) {
   for (const auto* run : runs_.Of(request.id)) {
     const auto left = operations_.leaving.find(run->instance);
     if (left == operations_.leaving.end()) continue;
-    if (!disturbances_.Calm(request.gateway, left->second, run->began_at)) {
+    if (!fault_windows_.FaultFree(request.gateway, left->second,
+                                  run->began_at)) {
       continue;
     }
     findings_.Check("a leaving server gets no new request",
--- a/tests/soak/online_request.h
+++ b/tests/soak/online_request.h
@@ -15,16 +15,16 @@
   kReply,  // a stream that may be resumed
   kPing,   // idempotent
   kBook,   // may run once only
-  kExtra,  // a stream on a route that comes and goes
+  kExtra,  // a stream on a route that is added and removed during the run
 };
 
-// One attempt of a caller: what it sent, when, and what came back.
+// One request of a caller, with its times and its response.
 struct OnlineRequest {
   std::string id;
   OnlineKind kind = OnlineKind::kQuery;
-  std::string route;  // of kExtra
+  std::string route;  // for kExtra
   std::string gateway;
-  int start = 0;  // which start of the gateway's process took it
+  int process_start = 0;  // number of gateway process starts when sent
   std::string target;
   std::string body;
   std::string key;
@@ -34,14 +34,15 @@
   TimePoint ended_at = kNever;
   http::EndEvent end;
 
-  bool plain() const noexcept {
+  // Answered with a single body instead of an event stream.
+  bool unary() const noexcept {
     return kind == OnlineKind::kPing || kind == OnlineKind::kBook;
   }
   bool repeatable() const noexcept {
     return kind == OnlineKind::kPing || kind == OnlineKind::kReply;
   }
   bool cancelled() const noexcept { return cancelled_at != kNever; }
-  bool whole() const noexcept {
+  bool complete() const noexcept {
     return end.outcome == http::ClientOutcome::kComplete;
   }
 };
--- a/tests/soak/online_traffic.cc
+++ b/tests/soak/online_traffic.cc
@@ -14,21 +14,23 @@
 
 constexpr milliseconds kShortBudget{1000};
 constexpr milliseconds kLongBudget{5000};
-// Callers wait a little longer than they say.
-constexpr milliseconds kPatience{3000};
-// One caller in so many hangs up before its answer is whole.
-constexpr uint64_t kHangUpShare = 25;
-constexpr uint64_t kLongestHangUp = 400;  // ms after sending
-
-constexpr uint64_t kShares = 20;
-// One request in so many has a wrong key, kChangingShares one that comes and
-// goes, the others one that lasts.
+// Callers wait this much longer than the budget that they send.
+constexpr milliseconds kCallerGrace{3000};
+// One in kRequestsPerHangUp requests may be cancelled before its response is
+// complete.
+constexpr uint64_t kRequestsPerHangUp = 25;
+constexpr uint64_t kMaxHangUpDelayMs = 400;  // after sending
+
+constexpr uint64_t kKindShares = 20;
+// Of kKeyShares requests, one has an unknown key, kChangingShares have a key
+// that is added and revoked during the run, and the others have a permanent
+// key.
 constexpr uint64_t kKeyShares = 20;
 constexpr uint64_t kChangingShares = 5;
 
-// Mostly streams, as on the users' deployments.
+// Mostly streams, as in production deployments.
 OnlineKind DrawKind(Rng& rng) {
-  const uint64_t draw = UniformBelow(rng, kShares);
+  const uint64_t draw = UniformBelow(rng, kKindShares);
   if (draw < 7) return OnlineKind::kQuery;
   if (draw < 11) return OnlineKind::kReply;
   if (draw < 14) return OnlineKind::kPing;
@@ -86,28 +88,28 @@
 
 void OnlineTraffic::Send(OnlineKind kind, const std::string& gateway,
                          bool patient, TimePoint now, const std::string& key) {
-  OnlineRequest request{.id = fmt::format("r{}", ++last_),
+  OnlineRequest request{.id = fmt::format("r{}", ++last_request_),
                         .kind = kind,
                         .gateway = gateway,
-                        .start = site_.StartsOf(gateway),
+                        .process_start = site_.StartsOf(gateway),
                         .sent_at = now};
   if (kind == OnlineKind::kExtra) request.route = site_.PickExtraRoute(rng_);
   request.target = TargetOf(request);
-  const bool hasty = !patient && UniformBelow(rng_, 4) == 0;
-  request.budget = hasty ? kShortBudget : kLongBudget;
+  const bool short_budget = !patient && UniformBelow(rng_, 4) == 0;
+  request.budget = short_budget ? kShortBudget : kLongBudget;
   auto sent =
-      site_.site().Online(gateway, request.plain() ? "GET" : "POST",
+      site_.site().Online(gateway, request.unary() ? "GET" : "POST",
                           request.target, request.id, request.budget.count());
   request.body = sent.body;
   request.key = key;
   sent.headers.Add("Authorization", "Bearer " + key);
-  // A claim that must not be believed.
+  // A forged workspace header that the gateway must ignore.
   sent.headers.Add("Tenant", kHotWorkspace);
-  sent.stream_body = !request.plain();
-  sent.deadline = now + request.budget + kPatience;
-  Open open{.index = requests_.size()};
-  if (!patient && UniformBelow(rng_, kHangUpShare) == 0) {
-    open.cancel_at = now + milliseconds(UniformBelow(rng_, kLongestHangUp));
+  sent.stream_body = !request.unary();
+  sent.deadline = now + request.budget + kCallerGrace;
+  OpenRequest open{.index = requests_.size()};
+  if (!patient && UniformBelow(rng_, kRequestsPerHangUp) == 0) {
+    open.cancel_at = now + milliseconds(UniformBelow(rng_, kMaxHangUpDelayMs));
   }
   open_.emplace(site_.site().caller().Begin(std::move(sent)), open);
   requests_.push_back(std::move(request));
--- a/tests/soak/online_traffic.h
+++ b/tests/soak/online_traffic.h
@@ -12,17 +12,17 @@
 
 namespace knapweedstile::soak {
 
-// Online callers: they keep using open connections until the gateway is gone,
-// go where it is ready, and now and then hang up.
+// Simulates online callers: they send requests to ready gateways, reuse open
+// connections until the gateway terminates, and cancel some requests.
 class OnlineTraffic {
  public:
   OnlineTraffic(SoakSite& site, uint64_t seed, int per_second);
 
-  // Sends what is due by `now` and takes in what has come back.
+  // Sends the requests due by `now` and collects responses.
   void Run(TimePoint now);
-  // Takes in only.
+  // Collects responses without sending requests.
   void Collect(TimePoint now);
-  // One request of each kind to a gateway.
+  // Sends one request of each kind, except kExtra, to the gateway.
   void Probe(const std::string& gateway, TimePoint now);
 
   const std::vector<OnlineRequest>& requests() const noexcept {
@@ -31,12 +31,12 @@
   size_t open() const noexcept { return open_.size(); }
 
  private:
-  struct Open {
-    size_t index = 0;  // of the request
+  struct OpenRequest {
+    size_t index = 0;  // into requests_
     TimePoint cancel_at = kNever;
   };
 
-  // A patient caller neither hangs up nor sets a short deadline.
+  // A patient caller neither cancels nor sets a short deadline.
   void Send(OnlineKind kind, const std::string& gateway, bool patient,
             TimePoint now, const std::string& key);
   std::string PickKey();
@@ -47,9 +47,9 @@
   int per_second_;
   TimePoint next_at_{};
   TimePoint next_hot_at_{};
-  uint64_t last_ = 0;
+  uint64_t last_request_ = 0;
   std::vector<OnlineRequest> requests_;
-  std::map<ExchangeId, Open> open_;
+  std::map<ExchangeId, OpenRequest> open_;
 };
 
 }  // namespace knapweedstile::soak
--- a/tests/soak/operations_log.h
+++ b/tests/soak/operations_log.h
@@ -12,7 +12,7 @@
 
 namespace knapweedstile::soak {
 
-// What operators did, with the moment at which the store had taken it.
+// Operator actions, with the time at which the store had accepted each.
 struct OperationsLog {
   struct Configuration {
     TimePoint at{};
@@ -21,15 +21,16 @@
   };
   struct Stop {
     std::string gateway;
-    TimePoint asked_at{};
+    TimePoint requested_at{};
     TimePoint ended_at = kNever;
   };
 
-  // Bound of the deployment: a version is in force so soon after it was taken.
+  // The deployment promises that a configuration version is in force within
+  // this time after it was written.
   static constexpr std::chrono::milliseconds kApplyBound{2000};
 
-  // Whether `holds` of each configuration that may be in force between the two
-  // moments.
+  // Whether `holds` returns true for each configuration that may be in force
+  // between `from` and `until`.
   template <typename Predicate>
   bool InEach(TimePoint from, TimePoint until, std::chrono::milliseconds slack,
               Predicate holds) const {
@@ -48,7 +49,7 @@
       return configuration.keys.contains(key) == present;
     });
   }
-  // The workspace that has or had the key; empty: none ever.
+  // The workspace that has or had the key; empty if no workspace ever had it.
   std::string OwnerOf(const std::string& key) const {
     for (const Configuration& configuration : configurations) {
       const auto owner = configuration.keys.find(key);
@@ -59,7 +60,7 @@
 
   std::vector<Configuration> configurations;
   std::vector<Stop> stops;
-  // Instances that drain or are gone, since when.
+  // When each draining or removed server instance began to leave.
   std::map<std::string, TimePoint> leaving;
 };
 
--- a/tests/soak/planned_fault.h
+++ b/tests/soak/planned_fault.h
@@ -9,11 +9,11 @@
 namespace knapweedstile::soak {
 
 struct PlannedFault {
-  std::chrono::milliseconds at{0};  // since the traffic began
+  std::chrono::milliseconds at{0};  // since traffic started
   FaultKind kind = FaultKind::kReloadGateway;
-  std::chrono::milliseconds lasts{0};
-  uint64_t target = 0;  // which gateway or server, modulo their number
-  uint64_t strength = 0;
+  std::chrono::milliseconds duration{0};
+  uint64_t target = 0;    // which gateway or server, modulo their number
+  uint64_t strength = 0;  // random; sets a count, clock offset or variant
 };
 
 }  // namespace knapweedstile::soak
--- a/tests/soak/run_index.h
+++ b/tests/soak/run_index.h
@@ -9,7 +9,7 @@
 
 namespace knapweedstile::soak {
 
-// What all backend servers ran, by request id.
+// Runs on all backend servers, by request id.
 class RunIndex {
  public:
   using Run = users_site::ModelServer::Run;
--- a/tests/soak/soak.cc
+++ b/tests/soak/soak.cc
@@ -1,4 +1,4 @@
-// The fault soak: see README.md beside this file.
+// Runs gateway processes under random faults; see README.md in this folder.
 
 #include <fmt/core.h>
 
@@ -16,13 +16,13 @@
 int Main(int argc, char** argv) {
   cxxopts::Options options(
       "knap_soak", "Runs gateways under random faults and checks promises.");
-  options.add_options()("seed", "the number that gives the whole schedule",
+  options.add_options()("seed", "seed of the fault schedule and the traffic",
                         cxxopts::value<uint64_t>())(
       "size", "small, few-dozen or limit",
       cxxopts::value<std::string>()->default_value("small"))(
-      "slack-ms", "what a busy machine may add to the promises' bounds",
+      "slack-ms", "added to time bounds to allow for a busy machine",
       cxxopts::value<int64_t>()->default_value("400"))("help", "this text");
-  // The library reports wrong usage by exceptions; they end here.
+  // cxxopts reports invalid flags by exceptions.
   try {
     const auto flags = options.parse(argc, argv);
     const auto size = ParseEnum<SizeName>(flags["size"].as<std::string>());
@@ -34,7 +34,7 @@
     SoakRun run(seed, SizeOf(*size),
                 std::chrono::milliseconds(flags["slack-ms"].as<int64_t>()));
     if (run.Run()) return 0;
-    // Keeps the processes' logs, whose folder is then printed.
+    // Keeps the folder with the processes' logs and prints its path.
     ::setenv("KNAP_KEEP", "1", 1);
     fmt::print("again: knap_soak --seed {} --size {}\n", seed, NameOf(*size));
     return kExitBroken;
--- a/tests/soak/soak_run.cc
+++ b/tests/soak/soak_run.cc
@@ -5,10 +5,10 @@
 #include <utility>
 
 #include "base/clock.h"
-#include "batch_judge.h"
+#include "batch_checker.h"
 #include "fault_plan.h"
-#include "online_judge.h"
-#include "workspace_judge.h"
+#include "online_checker.h"
+#include "workspace_checker.h"
 
 namespace knapweedstile::soak {
 namespace {
@@ -16,15 +16,15 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kStep{10};
-// A step that comes later shows that the test's own thread had to wait: what
-// callers measured then says nothing about the product.
+// A longer time between steps means that the test's own thread was delayed.
+// Times measured by callers then say nothing about the product.
 constexpr milliseconds kLateStep{150};
-// After the last fault: for views, time-outs and restarts to settle.
-constexpr milliseconds kSettle{9000};
-// Then every item must be listed within this.
-constexpr std::chrono::seconds kFinish{45};
-constexpr milliseconds kReadAllPause{1000};
-constexpr milliseconds kProbePause{25};
+// Time for gateway state, timeouts and restarts to settle after the last fault.
+constexpr milliseconds kSettleTime{9000};
+// After that, every item must be listed within this time.
+constexpr std::chrono::seconds kFinishTimeout{45};
+constexpr milliseconds kReadAllInterval{1000};
+constexpr milliseconds kProbeInterval{25};
 
 }  // namespace
 
@@ -38,17 +38,17 @@
       driver_(site_, batch_, MakeFaultPlan(seed, size)) {}
 
 void SoakRun::Step(TimePoint now) {
-  if (stepped_at_ != TimePoint{} && now - stepped_at_ > kLateStep) {
+  if (last_step_at_ != TimePoint{} && now - last_step_at_ > kLateStep) {
     ++late_steps_;
-    site_.disturbances().Add("", stepped_at_, now);
+    site_.fault_windows().Add("", last_step_at_, now);
   }
-  stepped_at_ = now;
+  last_step_at_ = now;
   site_.Run(now);
   batch_.Run(now);
 }
 
 void SoakRun::RunUntil(TimePoint end, bool faults) {
-  while (stepped_at_ < end) {
+  while (last_step_at_ < end) {
     site_.site().caller().RunFor(kStep);
     const TimePoint now = MonotonicNow();
     if (faults) {
@@ -61,18 +61,18 @@
 }
 
 void SoakRun::Settle() {
-  driver_.Heal(MonotonicNow());
-  RunUntil(MonotonicNow() + kSettle, false);
+  driver_.ClearFaults(MonotonicNow());
+  RunUntil(MonotonicNow() + kSettleTime, false);
 }
 
-// All is well again: every gateway serves each kind of request. One gateway
-// after another: hundreds of requests in one moment are more than the servers
-// have slots, and some are rightly refused.
+// Checks that every gateway serves each kind of request after the faults.
+// Probes gateways one after another, because hundreds of simultaneous requests
+// would exceed the servers' slots and some would correctly be rejected.
 void SoakRun::Probe() {
-  probes_from_ = online_.requests().size();
+  first_probe_ = online_.requests().size();
   for (const std::string& gateway : site_.gateways()) {
     online_.Probe(gateway, MonotonicNow());
-    site_.site().caller().RunFor(kProbePause);
+    site_.site().caller().RunFor(kProbeInterval);
     Step(MonotonicNow());
     online_.Collect(MonotonicNow());
   }
@@ -80,7 +80,7 @@
 
 void SoakRun::Finish() {
   batch_.StopSubmitting();
-  const TimePoint limit = MonotonicNow() + kFinish;
+  const TimePoint limit = MonotonicNow() + kFinishTimeout;
   TimePoint read_at{};
   while (MonotonicNow() < limit) {
     site_.site().caller().RunFor(kStep);
@@ -88,47 +88,47 @@
     Step(now);
     online_.Collect(now);
     if (batch_.AllListed() && online_.open() == 0) break;
-    if (now - read_at < kReadAllPause) continue;
+    if (now - read_at < kReadAllInterval) continue;
     read_at = now;
     batch_.ReadAll(site_.gateways().front(), now);
   }
-  // The same results at every gateway.
+  // Every gateway must return the same results.
   for (const std::string& gateway : site_.gateways()) {
     batch_.ReadAll(gateway, MonotonicNow());
   }
-  const TimePoint end = MonotonicNow() + kFinish;
+  const TimePoint end = MonotonicNow() + kFinishTimeout;
   while (batch_.open() > 0 && MonotonicNow() < end) {
     site_.site().caller().RunFor(kStep);
     Step(MonotonicNow());
   }
 }
 
-void SoakRun::Judge() {
+void SoakRun::CheckPromises() {
   const RunIndex runs = site_.Runs();
-  OnlineJudge online(runs, site_.disturbances(), site_.operations(),
+  OnlineChecker online(runs, site_.fault_windows(), site_.operations(),
+                       SoakSite::kEvents, slack_, findings_);
+  online.Check(online_.requests());
+  WorkspaceChecker workspaces(runs, site_.fault_windows(), site_.operations(),
+                              slack_, findings_);
+  workspaces.Check(online_.requests());
+  BatchChecker batch(runs, site_.fault_windows(), site_.operations(),
                      SoakSite::kEvents, slack_, findings_);
-  online.Judge(online_.requests());
-  WorkspaceJudge workspaces(runs, site_.disturbances(), site_.operations(),
-                            slack_, findings_);
-  workspaces.Judge(online_.requests());
-  BatchJudge batch(runs, site_.disturbances(), site_.operations(),
-                   SoakSite::kEvents, slack_, findings_);
-  batch.Judge(batch_.jobs());
-  for (size_t i = probes_from_; i < online_.requests().size(); ++i) {
+  batch.Check(batch_.jobs());
+  for (size_t i = first_probe_; i < online_.requests().size(); ++i) {
     const OnlineRequest& request = online_.requests()[i];
     if (request.cancelled()) continue;
     findings_.Check(
         "after the faults all is served",
-        request.whole() && request.end.status == 200,
+        request.complete() && request.end.status == 200,
         fmt::format("{} at {}: {} {}", request.target, request.gateway,
                     NameOf(request.end.outcome), request.end.status));
   }
 }
 
-void SoakRun::Print() const {
+void SoakRun::PrintReport() const {
   size_t served = 0;
   for (const OnlineRequest& request : online_.requests()) {
-    served += request.whole() && request.end.status == 200 ? 1 : 0;
+    served += request.complete() && request.end.status == 200 ? 1 : 0;
   }
   fmt::print("seed={} requests={} served={} jobs={} late_steps={}\n", seed_,
              online_.requests().size(), served, batch_.jobs().size(),
@@ -138,7 +138,7 @@
     fmt::print(" {}={}", kind, count);
   }
   fmt::print("\n");
-  for (const auto& [promise, count] : findings_.judged()) {
+  for (const auto& [promise, count] : findings_.check_counts()) {
     fmt::print("judged {:>7}: {}\n", count, promise);
   }
   for (const std::string& broken : findings_.broken()) {
@@ -153,8 +153,8 @@
   Settle();
   Probe();
   Finish();
-  Judge();
-  Print();
+  CheckPromises();
+  PrintReport();
   return findings_.broken().empty();
 }
 
--- a/tests/soak/soak_run.h
+++ b/tests/soak/soak_run.h
@@ -3,8 +3,8 @@
 
 #include <cstdint>
 
-#include "disturbances.h"
 #include "fault_driver.h"
+#include "fault_windows.h"
 #include "findings.h"
 #include "online_traffic.h"
 #include "soak_site.h"
@@ -12,13 +12,14 @@
 
 namespace knapweedstile::soak {
 
-// One run: traffic under a seeded plan of faults, then calm, then judgement.
+// One run: traffic under a seeded plan of faults, then a phase without faults,
+// then checks of all promises.
 class SoakRun {
  public:
-  // `slack`: what a busy test machine may add to the promises' bounds.
+  // `slack` is added to each time bound to allow for a busy test machine.
   SoakRun(uint64_t seed, const SoakSize& size, std::chrono::milliseconds slack);
 
-  // Prints what was found; whether every promise was kept.
+  // Prints the results; returns whether every promise was kept.
   bool Run();
 
  private:
@@ -27,8 +28,8 @@
   void Settle();
   void Probe();
   void Finish();
-  void Judge();
-  void Print() const;
+  void CheckPromises();
+  void PrintReport() const;
 
   uint64_t seed_;
   std::chrono::milliseconds slack_;
@@ -39,9 +40,9 @@
   BatchTraffic batch_;
   FaultDriver driver_;
   TimePoint began_at_{};
-  TimePoint stepped_at_{};
+  TimePoint last_step_at_{};
   int late_steps_ = 0;
-  size_t probes_from_ = 0;  // requests after which only probes follow
+  size_t first_probe_ = 0;  // index of the first probe in the requests
 };
 
 }  // namespace knapweedstile::soak
--- a/tests/soak/soak_site.cc
+++ b/tests/soak/soak_site.cc
@@ -17,21 +17,23 @@
 
 constexpr char kAnyPort[] = "127.0.0.1:0";
 constexpr int kSlots = 16;
-// A stream lasts some two seconds: long enough to be struck in the middle.
-constexpr milliseconds kEventPause{50};
-constexpr milliseconds kFirstPause{30};
-// As the users' balancer: one probe a second, out after two misses.
-constexpr milliseconds kProbePause{1000};
+// A stream lasts about two seconds, long enough for a fault to interrupt it.
+constexpr milliseconds kEventInterval{50};
+constexpr milliseconds kFirstEventDelay{30};
+// As in production load balancers: one probe per second; a gateway leaves the
+// rotation after two failed probes.
+constexpr milliseconds kProbeInterval{1000};
 constexpr milliseconds kProbeTimeout{900};
-constexpr int kMissesToLeave = 2;
-// The platform starts an ended process again after a short delay.
-constexpr milliseconds kRestartPause{400};
-// A server serves on for this long after it has left the list.
-constexpr milliseconds kServesOn{3000};
-// A silent server's entry is removed after three heartbeats.
-constexpr milliseconds kEntryLifetime{1200};
-
-// How long a key that comes and goes holds.
+constexpr int kMissedProbesToRemove = 2;
+// The platform restarts a terminated process after this delay.
+constexpr milliseconds kRestartDelay{400};
+// A draining server is deregistered after this time and keeps serving for the
+// same time after that.
+constexpr milliseconds kDrainPeriod{3000};
+// The registration of a silent server is removed after three missed heartbeats.
+constexpr milliseconds kRegistrationLifetime{1200};
+
+// How long a changing key is valid.
 constexpr milliseconds kKeyLifetime{4500};
 
 std::string ChangingKey(int number) { return fmt::format("key-{}", number); }
@@ -53,8 +55,9 @@
 
 SoakSite::SoakSite(const SoakSize& size, Findings& findings)
     : size_(size), findings_(findings) {
-  site_.interpose = [this](const std::string& who, const std::string& address) {
-    return Interpose(who, address);
+  site_.interpose = [this](const std::string& link,
+                           const std::string& address) {
+    return Interpose(link, address);
   };
   site_.environment = [this](const std::string& gateway) {
     return std::map<std::string, std::string>{
@@ -70,15 +73,15 @@
   return clocks_.File(gateway + ".clock");
 }
 
-void SoakSite::JumpClock(const std::string& gateway, int seconds) {
+void SoakSite::SetClockOffset(const std::string& gateway, int seconds) {
   std::ofstream(ClockFile(gateway)) << fmt::format("{:+d}", seconds) << '\n';
 }
 
-// One proxy for each way; a server keeps its own when its process is replaced.
-std::string SoakSite::Interpose(const std::string& who,
+// One proxy per link. A server keeps its proxy when its process is replaced.
+std::string SoakSite::Interpose(const std::string& link,
                                 const std::string& address) {
-  const bool server = who.starts_with("server/");
-  auto& proxy = proxies_[server ? "server/" + address : who];
+  const bool server = link.starts_with("server/");
+  auto& proxy = proxies_[server ? "server/" + address : link];
   if (!proxy) {
     proxy = std::make_unique<harness::Proxy>(site_.caller().io(), kAnyPort,
                                              address);
@@ -86,8 +89,8 @@
   return fmt::format("127.0.0.1:{}", proxy->port());
 }
 
-harness::Proxy* SoakSite::ProxyOf(const std::string& who) {
-  const auto found = proxies_.find(who);
+harness::Proxy* SoakSite::ProxyOf(const std::string& link) {
+  const auto found = proxies_.find(link);
   return found == proxies_.end() ? nullptr : found->second.get();
 }
 
@@ -98,18 +101,18 @@
 void SoakSite::AddModelServer() {
   ModelServer& server = site_.AddServer("llm", NewInstance(), kSlots);
   server.events = kEvents;
-  server.event_pause = kEventPause;
-  server.first_pause = kFirstPause;
+  server.event_pause = kEventInterval;
+  server.first_pause = kFirstEventDelay;
   server.name_requests = true;
   server.slots = kSlots;
-  server.unprocessable_body = BodyOf(ItemNature::kUnprocessable);
-  server.failing_body = BodyOf(ItemNature::kFailing);
+  server.unprocessable_body = BodyOf(ItemKind::kUnprocessable);
+  server.failing_body = BodyOf(ItemKind::kFailing);
   servers_.push_back(&server);
 }
 
 void SoakSite::Start() {
   for (int i = 0; i < size_.model_servers; ++i) AddModelServer();
-  for (int i = 0; i < size_.plain_servers; ++i) {
+  for (int i = 0; i < size_.app_servers; ++i) {
     servers_.push_back(&site_.AddServer("app", NewInstance(), kSlots));
     servers_.back()->name_requests = true;
   }
@@ -123,7 +126,7 @@
   Configure();
   for (int i = 1; i <= size_.gateways; ++i) {
     const std::string gateway = fmt::format("gateway-{}", i);
-    JumpClock(gateway, 0);
+    SetClockOffset(gateway, 0);
     site_.StartGateway(gateway);
     gateways_.push_back(gateway);
     gateway_states_[gateway];
@@ -144,7 +147,7 @@
 }
 
 std::string SoakSite::PickChangingKey(Rng& rng) const {
-  // Also one that has not come yet.
+  // -1 picks the next key, which is not yet added.
   const int back = static_cast<int>(UniformBelow(rng, 4)) - 1;
   return ChangingKey(std::max(last_key_ - back, 0));
 }
@@ -153,15 +156,15 @@
   site_.workspaces = WorkspacesOf(operations_.configurations.back().keys);
   const auto& routes = operations_.configurations.back().extra_routes;
   site_.extra_routes.assign(routes.begin(), routes.end());
-  // Versions increase in uneven steps.
+  // Version numbers need not be consecutive.
   version_ += 1 + version_ % 3;
   site_.Configure(
       version_,
-      {{"max_attempts", kMostFailures},
+      {{"max_attempts", kMaxFailures},
        {"queue_ttl_s",
         std::chrono::duration_cast<std::chrono::seconds>(kItemLifetime)
             .count()},
-       {"max_count", kMostWaitingTokens}});
+       {"max_count", kMaxWaitingTokens}});
 }
 
 void SoakSite::ChangeConfiguration(bool add, TimePoint now) {
@@ -198,14 +201,15 @@
   return runs;
 }
 
-void SoakSite::Later(TimePoint at, std::function<void()> step) {
-  steps_.emplace(at, std::move(step));
+void SoakSite::RunAt(TimePoint at, std::function<void()> action) {
+  scheduled_actions_.emplace(at, std::move(action));
 }
 
 void SoakSite::Run(TimePoint now) {
   if (now >= keys_change_at_) ChangeKeys(now);
-  while (!steps_.empty() && steps_.begin()->first <= now) {
-    steps_.extract(steps_.begin()).mapped()();
+  while (!scheduled_actions_.empty() &&
+         scheduled_actions_.begin()->first <= now) {
+    scheduled_actions_.extract(scheduled_actions_.begin()).mapped()();
   }
   for (auto& [gateway, state] : gateway_states_) {
     CheckProcess(gateway, state, now);
@@ -217,7 +221,7 @@
                             TimePoint now) {
   if (Running(gateway)) return;
   if (state.restart_at == kNever) {
-    findings_.Check("a process does not end by itself", state.restart_wanted,
+    findings_.Check("a process does not end by itself", state.exit_expected,
                     fmt::format("{} ended with {}", gateway,
                                 site_.process(gateway).exit_code()));
     for (OperationsLog::Stop& stop : operations_.stops) {
@@ -225,13 +229,13 @@
         stop.ended_at = now;
       }
     }
-    state.restart_at = now + kRestartPause;
+    state.restart_at = now + kRestartDelay;
     return;
   }
   if (now < state.restart_at) return;
   site_.RestartGateway(gateway);
   ++state.starts;
-  state.restart_wanted = false;
+  state.exit_expected = false;
   state.restart_at = kNever;
 }
 
@@ -242,27 +246,27 @@
     const auto& end = caller.answer(state.probe).end;
     if (!end) return;
     state.probe = ExchangeId();
-    state.misses = end->status == 200 ? 0 : state.misses + 1;
-    state.in_rotation = state.misses < kMissesToLeave;
+    state.missed_probes = end->status == 200 ? 0 : state.missed_probes + 1;
+    state.in_rotation = state.missed_probes < kMissedProbesToRemove;
     return;
   }
   if (now < state.probe_at) return;
-  state.probe_at = now + kProbePause;
+  state.probe_at = now + kProbeInterval;
   state.probe = caller.Begin({.address = site_.readiness(gateway),
                               .target = "/-/readiness",
                               .deadline = now + kProbeTimeout});
 }
 
 void SoakSite::Kill(const std::string& gateway) {
-  gateway_states_.at(gateway).restart_wanted = true;
+  gateway_states_.at(gateway).exit_expected = true;
   site_.process(gateway).Signal(SIGKILL);
 }
 
 void SoakSite::Stop(const std::string& gateway, TimePoint now) {
   GatewayState& state = gateway_states_.at(gateway);
-  if (state.restart_wanted || !Running(gateway)) return;
-  state.restart_wanted = true;
-  operations_.stops.push_back({.gateway = gateway, .asked_at = now});
+  if (state.exit_expected || !Running(gateway)) return;
+  state.exit_expected = true;
+  operations_.stops.push_back({.gateway = gateway, .requested_at = now});
   site_.process(gateway).Terminate();
 }
 
@@ -271,20 +275,20 @@
   if (operations_.leaving.contains(instance)) return;
   site_.MarkDraining(server);
   operations_.leaving[instance] = now;
-  Later(now + kServesOn, [this, &server, instance] {
+  RunAt(now + kDrainPeriod, [this, &server, instance] {
     if (server.instance() == instance) site_.RemoveServer(server);
   });
-  Later(now + kServesOn * 2, [this, &server, instance] {
+  RunAt(now + kDrainPeriod * 2, [this, &server, instance] {
     if (server.instance() == instance) Replace(server, true);
   });
 }
 
-void SoakSite::Vanish(ModelServer& server, TimePoint now) {
+void SoakSite::RemoveWithoutDraining(ModelServer& server, TimePoint now) {
   const std::string instance = server.instance();
   if (operations_.leaving.contains(instance)) return;
   site_.RemoveServer(server);
   operations_.leaving[instance] = now;
-  Later(now + kServesOn * 2, [this, &server, instance] {
+  RunAt(now + kDrainPeriod * 2, [this, &server, instance] {
     if (server.instance() == instance) Replace(server, true);
   });
 }
@@ -292,19 +296,20 @@
 void SoakSite::Replace(ModelServer& server, bool registered) {
   const TimePoint now = MonotonicNow();
   const std::string old = server.instance();
-  // The old entry lapses; until then it names an instance that is no more.
+  // Until the old registration expires, it names an instance that has
+  // terminated.
   if (!operations_.leaving.contains(old)) {
     operations_.leaving[old] = now;
-    disturbances_.Add("", now, now + kEntryLifetime);
+    fault_windows_.Add("", now, now + kRegistrationLifetime);
   }
   const std::string instance = NewInstance();
   site_.RestartServer(server, instance);
-  Later(now + kEntryLifetime,
+  RunAt(now + kRegistrationLifetime,
         [this, old] { site_.store().Remove("servers", old); });
   if (registered) {
     site_.MarkReady(server);
   } else {
-    Later(now + kEntryLifetime * 2, [this, &server, instance] {
+    RunAt(now + kRegistrationLifetime * 2, [this, &server, instance] {
       if (server.instance() == instance) site_.MarkReady(server);
     });
   }
--- a/tests/soak/soak_site.h
+++ b/tests/soak/soak_site.h
@@ -8,7 +8,7 @@
 
 #include "base/rng.h"
 #include "base/time.h"
-#include "disturbances.h"
+#include "fault_windows.h"
 #include "findings.h"
 #include "harness/proxy.h"
 #include "operations_log.h"
@@ -18,39 +18,42 @@
 
 namespace knapweedstile::soak {
 
-// The deployment under test: gateways as real processes, with a proxy on each
-// way from a gateway to the store, to a backend server and from callers.
+// The deployment under test: real gateway processes, with a proxy on each link
+// from a gateway to the store, from gateways to a backend server, and from
+// callers to a gateway.
 class SoakSite {
  public:
-  static constexpr int kEvents = 40;  // of each stream
+  static constexpr int kEvents = 40;  // per stream
 
   SoakSite(const SoakSize& size, Findings& findings);
 
-  // Starts everything and waits until it is ready.
+  // Starts all processes and waits until every gateway is ready.
   void Start();
-  // Balancer, restarts of ended processes, steps that are due.
+  // Runs the load balancer's probes, restarts terminated processes and runs due
+  // actions.
   void Run(TimePoint now);
-  // After `pause`, in Run.
-  void Later(TimePoint at, std::function<void()> step);
-  bool idle() const noexcept { return steps_.empty(); }
+  // Schedules `action` for the first Run at or after `at`.
+  void RunAt(TimePoint at, std::function<void()> action);
+  bool idle() const noexcept { return scheduled_actions_.empty(); }
 
-  // Commands on gateways.
+  // Gateway operations.
   void Kill(const std::string& gateway);
   void Stop(const std::string& gateway, TimePoint now);
-  void JumpClock(const std::string& gateway, int seconds);
-  // On servers.
+  void SetClockOffset(const std::string& gateway, int seconds);
+  // Server operations.
   void Drain(users_site::ModelServer& server, TimePoint now);
-  void Vanish(users_site::ModelServer& server, TimePoint now);
+  void RemoveWithoutDraining(users_site::ModelServer& server, TimePoint now);
   void AddModelServer();
-  // As a new instance, of another service when `moves`.
+  // Restarts the server as a new instance. If `registered`, the instance is
+  // registered at once, otherwise after twice the registration lifetime.
   void Replace(users_site::ModelServer& server, bool registered);
-  // On the configuration: adds a route, or removes the oldest.
+  // Adds an extra route, or removes the oldest.
   void ChangeConfiguration(bool add, TimePoint now);
-  harness::Proxy* ProxyOf(const std::string& who);
+  harness::Proxy* ProxyOf(const std::string& link);
 
   // Queries.
   users_site::Site& site() noexcept { return site_; }
-  Disturbances& disturbances() noexcept { return disturbances_; }
+  FaultWindows& fault_windows() noexcept { return fault_windows_; }
   const OperationsLog& operations() const noexcept { return operations_; }
   const std::vector<std::string>& gateways() const noexcept {
     return gateways_;
@@ -64,20 +67,21 @@
   bool Running(const std::string& gateway) {
     return site_.process(gateway).running();
   }
-  // One that the balancer has in rotation; any when there is none.
+  // A random gateway in the load balancer's rotation, or any gateway if the
+  // rotation is empty.
   const std::string& PickGateway(Rng& rng) const;
-  // Of the keys that come and go, one of the last few.
+  // One of the most recent changing keys, or the next one, not yet added.
   std::string PickChangingKey(Rng& rng) const;
-  // Of the routes that came and went, mostly a late one.
+  // One of the most recently added extra routes.
   std::string PickExtraRoute(Rng& rng) const;
   RunIndex Runs() const;
 
  private:
   struct GatewayState {
     int starts = 1;
-    bool restart_wanted = false;  // its end was ordered
+    bool exit_expected = false;  // the test stopped or killed it
     TimePoint restart_at = kNever;
-    int misses = 0;
+    int missed_probes = 0;
     TimePoint probe_at{};
     ExchangeId probe;  // in progress
     bool in_rotation = true;
@@ -86,16 +90,16 @@
   void Probe(const std::string& gateway, GatewayState& state, TimePoint now);
   void CheckProcess(const std::string& gateway, GatewayState& state,
                     TimePoint now);
-  // Takes a key away and gives another to the same workspace.
+  // Revokes the changing key and adds another one to the same workspace.
   void ChangeKeys(TimePoint now);
   void Configure();
-  std::string Interpose(const std::string& who, const std::string& address);
+  std::string Interpose(const std::string& link, const std::string& address);
   std::string ClockFile(const std::string& gateway) const;
   std::string NewInstance();
 
   SoakSize size_;
   Findings& findings_;
-  Disturbances disturbances_;
+  FaultWindows fault_windows_;
   OperationsLog operations_;
   harness::ScratchFolder clocks_;
   users_site::Site site_;
@@ -104,7 +108,7 @@
   std::vector<std::string> gateways_;
   std::map<std::string, GatewayState> gateway_states_;
   std::vector<users_site::ModelServer*> servers_;
-  std::multimap<TimePoint, std::function<void()>> steps_;
+  std::multimap<TimePoint, std::function<void()>> scheduled_actions_;
   int version_ = 1;
   int last_instance_ = 0;
   int last_route_ = 0;
--- a/tests/soak/soak_size.h
+++ b/tests/soak/soak_size.h
@@ -12,11 +12,11 @@
 
 enum class SizeName : uint8_t { kSmall, kFewDozen, kLimit };
 
-// How large one run is.
+// Size of the deployment and duration of one run.
 struct SoakSize {
   int gateways = 3;
   int model_servers = 4;
-  int plain_servers = 2;
+  int app_servers = 2;
   int requests_per_second = 25;
   std::chrono::milliseconds planned_phase{7000};
   std::chrono::milliseconds fault_phase{14000};
@@ -29,14 +29,14 @@
     case SizeName::kFewDozen:
       return {.gateways = 24,
               .model_servers = 12,
-              .plain_servers = 3,
+              .app_servers = 3,
               .requests_per_second = 60,
               .planned_phase = std::chrono::milliseconds(10000),
               .fault_phase = std::chrono::milliseconds(20000)};
     case SizeName::kLimit:
       return {.gateways = 120,
               .model_servers = 24,
-              .plain_servers = 4,
+              .app_servers = 4,
               .requests_per_second = 60,
               .planned_phase = std::chrono::milliseconds(10000),
               .fault_phase = std::chrono::milliseconds(20000)};
--- a/tests/soak/soak_workspaces.h
+++ b/tests/soak/soak_workspaces.h
@@ -7,22 +7,22 @@
 
 namespace knapweedstile::soak {
 
-// Keys and the workspaces that they belong to.
+// Workspace names by API key.
 using KeyOwners = std::map<std::string, std::string>;
 
-// One workspace without a rate, which does the usual work, and one that always
-// sends more than its rate.
+// A workspace without a rate limit, which sends most requests, and one that
+// always exceeds its rate.
 inline constexpr char kUsualWorkspace[] = "w-usual";
 inline constexpr char kHotWorkspace[] = "w-hot";
-// Keys that last; those that come and go are made by number.
+// Permanent keys. Changing keys have a number instead of a name.
 inline constexpr char kUsualKey[] = "key-usual";
 inline constexpr char kHotKey[] = "key-hot";
-// Of no workspace, ever.
+// Never belongs to a workspace.
 inline constexpr char kWrongKey[] = "key-wrong";
-// Stands in each key, and nowhere else.
-inline constexpr char kKeyMark[] = "key-";
+// Occurs in each key and nowhere else.
+inline constexpr char kKeyPrefix[] = "key-";
 
-// The hot workspace's rate, and what it may be exceeded by.
+// The hot workspace's rate limit, and the overage that is tolerated.
 inline constexpr double kHotRate = 2;
 inline constexpr double kHotBurst = 2;
 inline constexpr std::chrono::seconds kRateWindow{5};
--- a/tests/soak/workspace_judge.cc
+++ b/tests/soak/workspace_checker.cc
@@ -1,4 +1,4 @@
-#include "workspace_judge.h"
+#include "workspace_checker.h"
 
 #include <fmt/format.h>
 
@@ -19,10 +19,10 @@
 
 }  // namespace
 
-void WorkspaceJudge::Judge(const std::vector<OnlineRequest>& requests) {
-  JudgeServers();
+void WorkspaceChecker::Check(const std::vector<OnlineRequest>& requests) {
+  CheckForwardedHeaders();
   for (const OnlineRequest& request : requests) {
-    JudgeKey(request);
+    CheckKey(request);
     for (const auto* run : runs_.Of(request.id)) {
       findings_.Check(
           "a server is told the workspace that holds the key",
@@ -30,23 +30,23 @@
           Describe(request));
     }
   }
-  JudgeRate(requests);
+  CheckRate(requests);
 }
 
-void WorkspaceJudge::JudgeServers() {
+void WorkspaceChecker::CheckForwardedHeaders() {
   for (const auto& [id, runs] : runs_.all()) {
     for (const auto* run : runs) {
       const auto& fields = run->headers.fields();
       const bool leaked =
           std::any_of(fields.begin(), fields.end(), [](const auto& field) {
-            return field.second.find(kKeyMark) != std::string::npos;
+            return field.second.find(kKeyPrefix) != std::string::npos;
           });
       findings_.Check("no key reaches a server", !leaked, id);
     }
   }
 }
 
-void WorkspaceJudge::JudgeKey(const OnlineRequest& request) {
+void WorkspaceChecker::CheckKey(const OnlineRequest& request) {
   const bool ran = !runs_.Of(request.id).empty();
   if (operations_.OwnerOf(request.key).empty()) {
     findings_.Check("a key of no workspace opens nothing", !ran,
@@ -58,17 +58,17 @@
     findings_.Check("a key that holds is not denied",
                     request.end.status != kUnauthorized, Describe(request));
   }
-  const bool calm =
-      disturbances_.Calm(request.gateway, request.sent_at, request.ended_at);
-  if (calm && operations_.KeyInEach(request.key, false, request.sent_at,
-                                    request.ended_at, slack_)) {
+  const bool fault_free = fault_windows_.FaultFree(
+      request.gateway, request.sent_at, request.ended_at);
+  if (fault_free && operations_.KeyInEach(request.key, false, request.sent_at,
+                                          request.ended_at, slack_)) {
     findings_.Check("a key that is taken away opens nothing", !ran,
                     Describe(request));
   }
 }
 
-// In each window: requests that were both sent and began to run in it.
-void WorkspaceJudge::JudgeRate(const std::vector<OnlineRequest>& requests) {
+// Counts the requests that were both sent and started within each window.
+void WorkspaceChecker::CheckRate(const std::vector<OnlineRequest>& requests) {
   std::vector<std::pair<TimePoint, TimePoint>> runs;  // began, sent
   for (const OnlineRequest& request : requests) {
     if (request.key != kHotKey) continue;
