--- a/libs/gateway/src/batch/batch_answers.cc
+++ b/libs/gateway/src/batch/batch_answers.cc
@@ -37,10 +37,10 @@
   return jobs_.Find(run.item.job)->progress[run.item.index];
 }
 
-void BatchRunner::OnUpstream(http::ClientEvent&& event) {
-  const ExchangeId upstream =
+void BatchRunner::OnClientEvent(http::ClientEvent&& event) {
+  const ExchangeId exchange =
       std::visit([](const auto& e) { return e.exchange; }, event);
-  const auto found = runs_.find(upstream);
+  const auto found = runs_.find(exchange);
   if (found == runs_.end()) return;
   ItemRun& run = found->second;
   if (auto* head = std::get_if<http::HeadEvent>(&event)) {
@@ -58,7 +58,7 @@
   const ServerAnswer answer = DecodeAnswer(run.status, run.head);
   if (answer.ok() &&
       (answer.request_id != run.item_id || !answer.signed_answer)) {
-    connections_.Cancel(run.upstream);
+    connections_.Cancel(run.exchange);
     OnAttemptBroken(run, "foreign_answer");
   }
 }
@@ -67,7 +67,7 @@
   if (run.status / 100 != 2) return;
   run.reader.Append(data);
   if (ReadEvents(run)) return;
-  connections_.Cancel(run.upstream);
+  connections_.Cancel(run.exchange);
   OnAttemptBroken(run, "event_out_of_order");
 }
 
@@ -96,10 +96,10 @@
   if (event.outcome != http::ClientOutcome::kComplete) {
     return OnAttemptBroken(run, NameOf(event.outcome));
   }
-  OnAnswered(run);
+  OnComplete(run);
 }
 
-void BatchRunner::OnAnswered(ItemRun& run) {
+void BatchRunner::OnComplete(ItemRun& run) {
   const ServerAnswer answer = DecodeAnswer(run.status, run.head);
   if (answer.not_executed) {
     if (answer.wrong_instance) {
@@ -111,13 +111,14 @@
   }
   if (answer.request_id != run.item_id)
     return OnAttemptBroken(run, "foreign_answer");
-  if (!answer.ok()) return OnFailedAnswer(run);
-  if (run.reader.HasPartial()) return OnAttemptBroken(run, "partial_event");
+  if (!answer.ok()) return OnErrorResponse(run);
+  if (run.reader.HasIncompleteEvent())
+    return OnAttemptBroken(run, "partial_event");
   scheduler_.MarkReachable(run.server);
   Finish(run, ItemState::kCompleted);
 }
 
-void BatchRunner::OnFailedAnswer(ItemRun& run) {
+void BatchRunner::OnErrorResponse(ItemRun& run) {
   serving::ItemProgress& progress = Progress(run);
   LogWarning("item_failed", {{"job", run.item.job},
                              {"item", run.item_id},
@@ -189,7 +190,7 @@
 
 void BatchRunner::RemoveRun(ItemRun& run) {
   scheduler_.OnRequestEnded(run.server, TrafficClass::kBatch);
-  runs_.erase(run.upstream);
+  runs_.erase(run.exchange);
   callbacks_.usage_changed();
 }
 
--- a/libs/gateway/src/batch/batch_runner.cc
+++ b/libs/gateway/src/batch/batch_runner.cc
@@ -18,19 +18,19 @@
 // A preempted item waits this long before it restarts: the burst that took its
 // slot usually continues, and each resumption processes the prompt again (33 ms
 // of backend server time).
-constexpr std::chrono::milliseconds kPreemptedPause{150};
+constexpr std::chrono::milliseconds kRequeuePause{150};
 // Peers receive the report of a start within a few milliseconds.
 constexpr std::chrono::milliseconds kStartWindow{25};
 // A run that is not queued at the backend server receives its first event
 // within 70 ms.
-constexpr std::chrono::milliseconds kQueuedAfter{90};
+constexpr std::chrono::milliseconds kQueuedThreshold{90};
 // Time to the first event: online requests may be queued ahead, and the backend
 // server may process other prompts first.
 constexpr std::chrono::milliseconds kFirstEventTimeout{4000};
 // A configuration is active on all gateways within two seconds, or within seven
 // seconds while the store is degraded.
-constexpr std::chrono::milliseconds kNoRoutePause{500};
-constexpr std::chrono::milliseconds kNoRouteTimeout{4000};
+constexpr std::chrono::milliseconds kRouteRetryPause{500};
+constexpr std::chrono::milliseconds kMissingRouteTimeout{4000};
 // Median duration of an item's run on a busy backend server.
 constexpr std::chrono::milliseconds kTypicalRunDuration{4500};
 // Deadline of one run; the longest items take about ten seconds.
@@ -52,14 +52,14 @@
       callbacks_(std::move(callbacks)),
       connections_(connections),
       sink_([this](http::ClientEvent&& event) {
-        OnUpstream(std::move(event));
+        OnClientEvent(std::move(event));
       }) {}
 
 void BatchRunner::Run(TimePoint now) {
-  EndUnwanted();
-  EndStalled(now);
+  EndUnneededRuns();
+  EndStalledRuns(now);
   GiveUpExpired(now);
-  RequeueQueuedRuns(now);
+  WithdrawQueuedRuns(now);
   // A newly active policy may allow batch traffic fewer slots than it uses.
   for (const BackendServerId server : scheduler_.ServersOverBatchLimit()) {
     PreemptItem(server);
@@ -80,51 +80,50 @@
   }
 }
 
-BatchRunner::StartResult BatchRunner::Start(const ItemRef& item,
-                                            TimePoint now) {
-  serving::BatchJob& job = *jobs_.Find(item.job);
-  const serving::BatchItem& work = job.items[item.index];
-  const serving::Route* route = routes_.Find(job.host, work.target);
+BatchRunner::StartResult BatchRunner::Start(const ItemRef& ref, TimePoint now) {
+  serving::BatchJob& job = *jobs_.Find(ref.job);
+  const serving::BatchItem& item = job.items[ref.index];
+  const serving::Route* route = routes_.Find(job.host, item.target);
   if (!route) {
-    WaitForRoute(item, now);
-    return StartResult::kStarted;
+    WaitForRoute(ref, now);
+    return StartResult::kHandled;
   }
   const std::string& service = route->services.front().service;
   if (!ConsumeBudget(service, now)) return StartResult::kNoCapacity;
   const BackendServerId server = scheduler_.PlaceBatch(
       service, callbacks_.excluded_servers(*route, service), now);
   if (!server) return StartResult::kNoCapacity;
-  serving::ItemProgress& progress = job.progress[item.index];
+  serving::ItemProgress& progress = job.progress[ref.index];
   progress.unrouted_since.reset();
-  ItemRun run{.item = item,
-              .item_id = work.id,
+  ItemRun run{.item = ref,
+              .item_id = item.id,
               .route = route->name,
-              .hash = Hash64(work.id),
+              .item_hash = Hash64(item.id),
               .server = server,
-              .upstream = connections_.Open(sink_),
+              .exchange = connections_.Open(sink_),
               .started_at = now,
               .stalls_at = now + kFirstEventTimeout};
   const serving::ServerRecord& record = *scheduler_.Record(server);
   http::ClientRequest request;
-  request.exchange = run.upstream;
+  request.exchange = run.exchange;
   request.address = record.address;
   request.method = "POST";
-  request.target = work.target;
+  request.target = item.target;
   request.headers =
-      users_platform::ItemHeaders(work.headers, work.id, job.host,
+      users_platform::ItemHeaders(item.headers, item.id, job.host,
                                   {.instance = record.instance,
                                    .workspace = job.workspace,
                                    .budget = kMaxRunDuration,
                                    .after_event = progress.last_event});
-  request.body = work.body;
+  request.body = item.body;
   request.deadline = now + kMaxRunDuration;
   request.stream_body = true;
-  jobs_.SetRunning(item);
+  jobs_.SetRunning(ref);
   scheduler_.OnRequestStarted(server, TrafficClass::kBatch);
-  runs_.emplace(run.upstream, std::move(run));
+  runs_.emplace(run.exchange, std::move(run));
   callbacks_.usage_changed();
   connections_.Send(std::move(request));
-  return StartResult::kStarted;
+  return StartResult::kHandled;
 }
 
 void BatchRunner::PreemptBlockingItems(TimePoint now) {
@@ -137,12 +136,12 @@
 // the job was accepted. A route counts as removed only if it stays missing
 // under a known configuration.
 void BatchRunner::WaitForRoute(const ItemRef& item, TimePoint now) {
-  jobs_.SetWaiting(item, now + kNoRoutePause);
+  jobs_.SetWaiting(item, now + kRouteRetryPause);
   if (routes_.version == 0) return;
   serving::BatchJob& job = *jobs_.Find(item.job);
   serving::ItemProgress& progress = job.progress[item.index];
   if (!progress.unrouted_since) progress.unrouted_since = now;
-  if (now - *progress.unrouted_since < kNoRouteTimeout) return;
+  if (now - *progress.unrouted_since < kMissingRouteTimeout) return;
   LogWarning("item_given_up", {{"job", item.job},
                                {"item", job.items[item.index].id},
                                {"cause", "no_route"},
@@ -152,11 +151,11 @@
 }
 
 bool BatchRunner::ConsumeBudget(const std::string& service, TimePoint now) {
-  if (now >= window_ends_at_) {
-    budget_.clear();
-    window_ends_at_ = now + kStartWindow;
+  if (now >= start_window_ends_at_) {
+    start_budgets_.clear();
+    start_window_ends_at_ = now + kStartWindow;
   }
-  const auto [budget, is_new] = budget_.try_emplace(service);
+  const auto [budget, is_new] = start_budgets_.try_emplace(service);
   if (is_new) {
     budget->second =
         scheduler_.BatchBudget(service, callbacks_.gateway_count(), now);
@@ -170,43 +169,43 @@
 // place more items on a server than it has slots. The queued items delay the
 // online requests behind them for seconds. Such a server is oversubscribed and
 // has runs that have received no event.
-void BatchRunner::RequeueQueuedRuns(TimePoint now) {
-  std::map<BackendServerId, ExchangeId> queued;
-  for (const auto& [upstream, run] : runs_) {
-    if (run.received_event || now - run.started_at < kQueuedAfter) continue;
+void BatchRunner::WithdrawQueuedRuns(TimePoint now) {
+  std::map<BackendServerId, ExchangeId> queued_by_server;
+  for (const auto& [exchange, run] : runs_) {
+    if (run.received_event || now - run.started_at < kQueuedThreshold) continue;
     if (scheduler_.Oversubscription(run.server) > 0)
-      queued.emplace(run.server, upstream);
+      queued_by_server.emplace(run.server, exchange);
   }
-  for (const auto& [server, upstream] : queued) {
-    connections_.Cancel(upstream);
-    Requeue(runs_.at(upstream), kPreemptedPause, "queued");
+  for (const auto& [server, exchange] : queued_by_server) {
+    connections_.Cancel(exchange);
+    Requeue(runs_.at(exchange), kRequeuePause, "queued");
   }
 }
 
-void BatchRunner::EndStalled(TimePoint now) {
+void BatchRunner::EndStalledRuns(TimePoint now) {
   std::vector<ExchangeId> stalled;
-  for (const auto& [upstream, run] : runs_) {
-    if (run.stalls_at <= now) stalled.push_back(upstream);
+  for (const auto& [exchange, run] : runs_) {
+    if (run.stalls_at <= now) stalled.push_back(exchange);
   }
-  for (const ExchangeId upstream : stalled) {
-    ItemRun& run = runs_.at(upstream);
-    connections_.Cancel(upstream);
+  for (const ExchangeId exchange : stalled) {
+    ItemRun& run = runs_.at(exchange);
+    connections_.Cancel(exchange);
     scheduler_.MarkUnreachable(run.server, now);
     OnAttemptBroken(run, "stalled");
   }
 }
 
-void BatchRunner::EndUnwanted() {
+void BatchRunner::EndUnneededRuns() {
   std::vector<ExchangeId> unneeded;
-  for (const auto& [upstream, run] : runs_) {
+  for (const auto& [exchange, run] : runs_) {
     const serving::BatchJob* job = jobs_.Find(run.item.job);
     const bool committed = job && job->progress[run.item.index].phase ==
                                       serving::ItemPhase::kCommitted;
-    if (!job || job->ended || committed) unneeded.push_back(upstream);
+    if (!job || job->ended || committed) unneeded.push_back(exchange);
   }
-  for (const ExchangeId upstream : unneeded) {
-    connections_.Cancel(upstream);
-    RemoveRun(runs_.at(upstream));
+  for (const ExchangeId exchange : unneeded) {
+    connections_.Cancel(exchange);
+    RemoveRun(runs_.at(exchange));
   }
 }
 
@@ -227,7 +226,7 @@
 void BatchRunner::PreemptItem(BackendServerId server) {
   ItemRun* candidate = nullptr;
   TimePoint latest_due{};
-  for (auto& [upstream, run] : runs_) {
+  for (auto& [exchange, run] : runs_) {
     if (run.server != server) continue;
     const serving::BatchJob* job = jobs_.Find(run.item.job);
     const TimePoint due = job ? job->due_at : kNever;
@@ -236,34 +235,34 @@
     latest_due = due;
   }
   if (!candidate) return;
-  connections_.Cancel(candidate->upstream);
-  Requeue(*candidate, kPreemptedPause, "displaced");
+  connections_.Cancel(candidate->exchange);
+  Requeue(*candidate, kRequeuePause, "displaced");
 }
 
-void BatchRunner::OnServerRestarted(BackendServerId former) {
+void BatchRunner::OnServerRestarted(BackendServerId previous_server) {
   std::vector<ExchangeId> interrupted;
-  for (const auto& [upstream, run] : runs_) {
-    if (run.server == former) interrupted.push_back(upstream);
+  for (const auto& [exchange, run] : runs_) {
+    if (run.server == previous_server) interrupted.push_back(exchange);
   }
-  for (const ExchangeId upstream : interrupted) {
-    connections_.Cancel(upstream);
-    OnAttemptBroken(runs_.at(upstream), "server_restarted");
+  for (const ExchangeId exchange : interrupted) {
+    connections_.Cancel(exchange);
+    OnAttemptBroken(runs_.at(exchange), "server_restarted");
   }
 }
 
 void BatchRunner::EndAll() {
   while (!runs_.empty()) {
     ItemRun& run = runs_.begin()->second;
-    connections_.Cancel(run.upstream);
-    Requeue(run, kPreemptedPause, "stopping");
+    connections_.Cancel(run.exchange);
+    Requeue(run, kRequeuePause, "stopping");
   }
 }
 
-std::vector<uint64_t> BatchRunner::RunningItems() const {
-  std::vector<uint64_t> items;
-  items.reserve(runs_.size());
-  for (const auto& [upstream, run] : runs_) items.push_back(run.hash);
-  return items;
+std::vector<uint64_t> BatchRunner::RunningItemHashes() const {
+  std::vector<uint64_t> hashes;
+  hashes.reserve(runs_.size());
+  for (const auto& [exchange, run] : runs_) hashes.push_back(run.item_hash);
+  return hashes;
 }
 
 }  // namespace knapweedstile::gateway
--- a/libs/gateway/src/batch/batch_runner.h
+++ b/libs/gateway/src/batch/batch_runner.h
@@ -55,13 +55,13 @@
   // its output so far is kept.
   void PreemptItem(BackendServerId server);
   // The backend server's process has terminated, and all its runs with it.
-  void OnServerRestarted(BackendServerId former);
+  void OnServerRestarted(BackendServerId previous_server);
   // Ends all runs so that peers can resume the items; the output so far is
   // kept.
   void EndAll();
 
   // Hashes of the running items' ids.
-  std::vector<uint64_t> RunningItems() const;
+  std::vector<uint64_t> RunningItemHashes() const;
   size_t running() const noexcept { return runs_.size(); }
 
  private:
@@ -69,9 +69,9 @@
     serving::ItemRef item;
     std::string item_id;
     std::string route;
-    uint64_t hash = 0;
+    uint64_t item_hash = 0;
     BackendServerId server;
-    ExchangeId upstream;
+    ExchangeId exchange;
     TimePoint started_at;
     TimePoint stalls_at;  // the run has stalled without an event by then
     unsigned status = 0;
@@ -79,25 +79,25 @@
     bool received_event = false;
     serving::EventStreamReader reader;
   };
-  enum class StartResult { kStarted, kNoCapacity };
+  enum class StartResult { kHandled, kNoCapacity };
   // Number of items that may still be started in the current window, by
   // service.
-  using Budget = std::map<std::string, uint32_t, std::less<>>;
+  using StartBudgets = std::map<std::string, uint32_t, std::less<>>;
 
-  StartResult Start(const serving::ItemRef& item, TimePoint now);
+  StartResult Start(const serving::ItemRef& ref, TimePoint now);
   void WaitForRoute(const serving::ItemRef& item, TimePoint now);
-  void OnUpstream(http::ClientEvent&& event);
+  void OnClientEvent(http::ClientEvent&& event);
   void OnHead(ItemRun& run, http::HeadEvent&& event);
   void OnBody(ItemRun& run, std::string_view data);
   bool ReadEvents(ItemRun& run);
   void OnEnd(ItemRun& run, const http::EndEvent& event);
-  void OnAnswered(ItemRun& run);
-  void OnFailedAnswer(ItemRun& run);
+  void OnComplete(ItemRun& run);
+  void OnErrorResponse(ItemRun& run);
   void OnAttemptBroken(ItemRun& run, std::string_view reason);
   bool ConsumeBudget(const std::string& service, TimePoint now);
-  void RequeueQueuedRuns(TimePoint now);
-  void EndStalled(TimePoint now);
-  void EndUnwanted();
+  void WithdrawQueuedRuns(TimePoint now);
+  void EndStalledRuns(TimePoint now);
+  void EndUnneededRuns();
   void GiveUpExpired(TimePoint now);
   void Finish(ItemRun& run, serving::ItemState state);
   void Requeue(ItemRun& run, Duration pause, std::string_view reason);
@@ -111,8 +111,8 @@
   observe::Metrics& metrics_;
   observe::Timeline& timeline_;
   Callbacks callbacks_;
-  Budget budget_;
-  TimePoint window_ends_at_{};
+  StartBudgets start_budgets_;
+  TimePoint start_window_ends_at_{};
   std::unordered_map<ExchangeId, ItemRun> runs_;
   ServerConnections& connections_;
   ServerConnections::EventSink sink_;  // receives this object's events
--- a/libs/gateway/src/gateway.cc
+++ b/libs/gateway/src/gateway.cc
@@ -257,7 +257,7 @@
                static_cast<double>(routes_.version));
   metrics_.Set("knap_servers", static_cast<double>(scheduler_.server_count()));
   metrics_.Set("knap_store_available", store_.available() ? 1 : 0);
-  metrics_.Set("knap_store_calls", static_cast<double>(store_.calls()));
+  metrics_.Set("knap_store_calls", static_cast<double>(store_.call_count()));
   metrics_.Set("knap_store_reader", follower_.IsReader() ? 1 : 0);
   metrics_.Set("knap_cell_entries", static_cast<double>(gateways_in_cell_));
   metrics_.Set("knap_online_open", static_cast<double>(online_.open()));
--- a/libs/gateway/src/gateway_wiring.cc
+++ b/libs/gateway/src/gateway_wiring.cc
@@ -128,7 +128,7 @@
            .add_full_state =
                [this](PeerState& state, TimePoint now) {
                  state.availability_zone = settings_.availability_zone;
-                 state.running_items = runner_.RunningItems();
+                 state.running_items = runner_.RunningItemHashes();
                  state.crashes = crash_tracker_.OwnCounts();
                  state.filled = sync_tracker_.RecentlyRecovered(now);
                },
--- a/libs/gateway/src/online/online_answers.cc
+++ b/libs/gateway/src/online/online_answers.cc
@@ -140,7 +140,8 @@
     return RetryNotExecuted(call);
   }
   if (call.response_started && response.ok()) {
-    if (call.reader.HasPartial()) return OnAttemptBroken(call, "partial_event");
+    if (call.reader.HasIncompleteEvent())
+      return OnAttemptBroken(call, "partial_event");
     scheduler_.ObserveDuration(call.server, MonotonicNow() - call.sent_at);
     callbacks_.to_caller(
         http::StreamChunkCommand{.exchange = call.caller, .last = true});
--- a/libs/gateway/src/peers/state_publisher.cc
+++ b/libs/gateway/src/peers/state_publisher.cc
@@ -61,7 +61,7 @@
   const serving::UsageByProcess changes = TakeUsageDelta();
   PeerState state = callbacks_.base_state();
   state.partial = true;
-  state.rate = rate_.TakeDeltaReport(now);
+  state.rate = rate_.TakeIncrementalReport(now);
   peers_.BroadcastByCell(std::move(state), [&](const serving::Cell& cell) {
     serving::UsageByProcess usage;
     for (const auto& [process, counts] : changes) {
--- a/libs/gateway/src/store/store_calls.h
+++ b/libs/gateway/src/store/store_calls.h
@@ -48,7 +48,7 @@
   // When the store last became available after an outage; zero if there was no
   // outage since the start.
   TimePoint available_since() const noexcept { return available_since_; }
-  uint64_t calls() const noexcept { return last_token_; }
+  uint64_t call_count() const noexcept { return last_token_; }
 
  private:
   void OnAnswer(platform::StoreAnswer&& answer);
--- a/libs/serving/include/serving/event_stream_reader.h
+++ b/libs/serving/include/serving/event_stream_reader.h
@@ -22,7 +22,7 @@
   // next call of any other member.
   std::optional<StreamEvent> Next();
   // Whether the buffer holds bytes of an incomplete event.
-  bool HasPartial() const noexcept { return offset_ < buffer_.size(); }
+  bool HasIncompleteEvent() const noexcept { return offset_ < buffer_.size(); }
   void Reset();
 
  private:
--- a/libs/serving/include/serving/slot_scheduler.h
+++ b/libs/serving/include/serving/slot_scheduler.h
@@ -211,7 +211,7 @@
   // Makes the process of the record the one that peer reports refer to.
   void IndexProcess(Server& server);
   // Removes the previous process when the record is of a restarted server.
-  void RetireFormerProcess(const ServerRecord& record);
+  void RemovePreviousProcess(const ServerRecord& record);
   // Null when no registered server has that process.
   Server* FindProcess(ServerProcessId process);
   void SumPeerUsage();
--- a/libs/serving/src/event_stream_reader.cc
+++ b/libs/serving/src/event_stream_reader.cc
@@ -11,8 +11,8 @@
 }
 
 // The value of `field: value`, without the one optional space.
-std::optional<std::string_view> ValueOf(std::string_view line,
-                                        std::string_view field) {
+std::optional<std::string_view> FieldValue(std::string_view line,
+                                           std::string_view field) {
   if (!line.starts_with(field)) return std::nullopt;
   line.remove_prefix(field.size());
   if (!line.starts_with(':')) return std::nullopt;
@@ -21,15 +21,15 @@
   return line;
 }
 
-void ReadLine(std::string_view line, StreamEvent& event, bool& has_data) {
-  if (const auto id = ValueOf(line, "id")) {
+void ParseField(std::string_view line, StreamEvent& event, bool& has_data) {
+  if (const auto id = FieldValue(line, "id")) {
     uint64_t number = 0;
     const auto parsed =
         std::from_chars(id->data(), id->data() + id->size(), number);
     if (parsed.ec == std::errc() && parsed.ptr == id->data() + id->size()) {
       event.id = number;
     }
-  } else if (const auto data = ValueOf(line, "data")) {
+  } else if (const auto data = FieldValue(line, "data")) {
     if (has_data) event.data += '\n';
     event.data += *data;
     has_data = true;
@@ -66,8 +66,8 @@
   size_t at = 0;
   while (at < event.raw.size()) {
     const size_t end = event.raw.find('\n', at);
-    ReadLine(WithoutCarriageReturn(event.raw.substr(at, end - at)), event,
-             has_data);
+    ParseField(WithoutCarriageReturn(event.raw.substr(at, end - at)), event,
+               has_data);
     at = end + 1;
   }
   return event;
--- a/libs/serving/src/slot_scheduler.cc
+++ b/libs/serving/src/slot_scheduler.cc
@@ -15,7 +15,7 @@
 
 // On an oversubscribed server the preempted item may itself be queued, so that
 // preempting it frees no slot and moves the request up by one position only.
-constexpr double kQueuedBatchFactor = 0.02;
+constexpr double kOversubscribedFactor = 0.02;
 
 uint32_t& CountOf(ServerUsage& usage, TrafficClass traffic) {
   return traffic == TrafficClass::kOnline ? usage.online : usage.batch;
@@ -31,7 +31,7 @@
 // a server restarts under its old name, idle, while usage, failures and backoff
 // belong to the previous process. The previous process is kept as a separate,
 // removed server until its requests have ended.
-void SlotScheduler::RetireFormerProcess(const ServerRecord& record) {
+void SlotScheduler::RemovePreviousProcess(const ServerRecord& record) {
   const auto known = by_instance_.find(record.instance);
   if (known == by_instance_.end()) return;
   const uint64_t start = servers_[known->second].record.start;
@@ -41,7 +41,7 @@
 }
 
 void SlotScheduler::Upsert(const ServerRecord& record) {
-  RetireFormerProcess(record);
+  RemovePreviousProcess(record);
   auto [known, is_new] = by_instance_.try_emplace(record.instance);
   if (is_new) known->second = BackendServerId(++last_id_);
   Server& server = servers_[known->second];
@@ -274,7 +274,7 @@
 double SlotScheduler::PreemptionWeight(const Server& server) const {
   if (server.online() >= server.record.slots) return 0;
   const bool oversubscribed = server.total() > server.record.slots;
-  return server.batch() * (oversubscribed ? kQueuedBatchFactor : 1.0);
+  return server.batch() * (oversubscribed ? kOversubscribedFactor : 1.0);
 }
 
 Placement SlotScheduler::PlaceOnline(std::string_view service,
@@ -282,8 +282,8 @@
                                      std::span<const BackendServerId> excluded,
                                      TimePoint now) {
   const auto own_batch = [](const Server& server) {
-    const bool certain = server.total() <= server.record.slots;
-    return certain ? static_cast<double>(server.own_usage.batch) : 0.0;
+    const bool all_have_slots = server.total() <= server.record.slots;
+    return all_have_slots ? static_cast<double>(server.own_usage.batch) : 0.0;
   };
   if (FreeSlotsAreScarce(service, now)) {
     if (Server* server = PickWeighted(service, excluded, now, own_batch)) {
--- a/libs/serving/tests/event_stream_reader_test.cc
+++ b/libs/serving/tests/event_stream_reader_test.cc
@@ -16,14 +16,14 @@
   CHECK(first->data == "a\nb");
   CHECK(first->raw == "weight-versions: 3\nid: 7\ndata: a\ndata: b\n\n");
   CHECK_FALSE(reader.Next());
-  CHECK(reader.HasPartial());
+  CHECK(reader.HasIncompleteEvent());
   reader.Append("ta:c\r\n\r\n");
   const auto second = reader.Next();
   REQUIRE(second);
   CHECK(second->id == 8);
   CHECK(second->data == "c");
   CHECK_FALSE(reader.Next());
-  CHECK_FALSE(reader.HasPartial());
+  CHECK_FALSE(reader.HasIncompleteEvent());
 }
 
 // The network may split a stream at any byte; the events must be the same.
--- a/libs/workspaces/include/workspaces/rate_decision.h
+++ b/libs/workspaces/include/workspaces/rate_decision.h
@@ -12,9 +12,9 @@
 
 enum class RateVerdict {
   kAdmitted,
-  kOverRate,  // by the counts of all gateways
-  kStarting,  // counts from before the start of this fleet are missing
-  kSplit,     // beyond the share of the gateways that reach each other
+  kOverRate,     // by the counts of all gateways
+  kStarting,     // counts from before the start of this fleet are missing
+  kPartitioned,  // beyond the share of the gateways that reach each other
 };
 
 // The decision on one request and the figures that it is based on.
--- a/libs/workspaces/include/workspaces/rate_quota.h
+++ b/libs/workspaces/include/workspaces/rate_quota.h
@@ -12,11 +12,11 @@
 
 #include "base/rng.h"
 #include "base/time.h"
-#include "workspaces/admission_window.h"
 #include "workspaces/rate_decision.h"
 #include "workspaces/rate_limit.h"
 #include "workspaces/rate_quota_settings.h"
 #include "workspaces/rate_report.h"
+#include "workspaces/sliding_window_counter.h"
 
 namespace knapweedstile::workspaces {
 
@@ -71,7 +71,7 @@
   // Marks peers without recent reports as unreachable and drops expired counts.
   void Expire(TimePoint now);
   // Returns the counts that have changed since the last call.
-  RateReport TakeDeltaReport(TimePoint now);
+  RateReport TakeIncrementalReport(TimePoint now);
 
   // Queries.
   RateReport FullReport(TimePoint now) const;
@@ -82,10 +82,11 @@
 
  private:
   struct OwnCounts {
-    explicit OwnCounts(Duration longest) : window(longest), rejected(longest) {}
+    explicit OwnCounts(Duration longest)
+        : admitted(longest), rejected(longest) {}
 
-    AdmissionWindow window;
-    AdmissionWindow rejected;
+    SlidingWindowCounter admitted;
+    SlidingWindowCounter rejected;
     TimePoint used_at{};
     TimePoint last_retry_at{};  // latest retry time given to a rejected request
     bool changed = false;       // since the last report
@@ -135,8 +136,8 @@
                         TimePoint now) const;
   size_t fleet_size() const noexcept { return peers_.size() + 1; }
 
-  Duration SpanOf(size_t span) const noexcept {
-    return settings_.window * static_cast<int64_t>(span + 1) / kRateSpans;
+  Duration SpanLength(size_t index) const noexcept {
+    return settings_.window * static_cast<int64_t>(index + 1) / kRateSpans;
   }
   // Whether one more request fits each span of the window.
   bool FitsAllSpans(const RateLimit& limit, const AdmittedTotals& totals) const;
@@ -154,8 +155,8 @@
   TimePoint started_at_;
   Rng rng_;
   bool members_known_ = false;
-  uint32_t advertised_fleet_size_ = 0;  // the largest that peers reported
-  uint32_t unreachable_count_ = 0;      // peers
+  uint32_t advertised_fleet_size_ = 0;   // the largest that peers reported
+  uint32_t unreachable_peer_count_ = 0;  // peers
   std::unordered_map<WorkspaceHash, OwnCounts> own_;
   std::vector<WorkspaceHash> changed_;
   std::map<GatewayHash, Peer> peers_;
--- a/libs/workspaces/include/workspaces/admission_window.h
+++ b/libs/workspaces/include/workspaces/sliding_window_counter.h
@@ -1,5 +1,5 @@
-#ifndef KNAPWEEDSTILE_WORKSPACES_ADMISSION_WINDOW_H_
-#define KNAPWEEDSTILE_WORKSPACES_ADMISSION_WINDOW_H_
+#ifndef KNAPWEEDSTILE_WORKSPACES_SLIDING_WINDOW_COUNTER_H_
+#define KNAPWEEDSTILE_WORKSPACES_SLIDING_WINDOW_COUNTER_H_
 
 #include <array>
 #include <cstdint>
@@ -11,14 +11,14 @@
 // Counts the requests admitted in a span of time that ends now, up to a longest
 // span, in buckets of a fiftieth of that. A count includes the current bucket
 // and each one that the span touches, so it never covers less than the span.
-class AdmissionWindow {
+class SlidingWindowCounter {
  public:
-  explicit AdmissionWindow(Duration longest)
+  explicit SlidingWindowCounter(Duration longest)
       : bucket_length_(longest / kBucketsPerLongestSpan) {}
 
   void Add(TimePoint now);
-  // Removes one request that was admitted at `admitted_at`.
-  void Remove(TimePoint admitted_at, TimePoint now);
+  // Removes one request that was admitted at `added_at`.
+  void Remove(TimePoint added_at, TimePoint now);
 
   // `span` is at most the longest span.
   uint32_t CountIn(Duration span, TimePoint now) const;
@@ -39,4 +39,4 @@
 
 }  // namespace knapweedstile::workspaces
 
-#endif  // KNAPWEEDSTILE_WORKSPACES_ADMISSION_WINDOW_H_
+#endif  // KNAPWEEDSTILE_WORKSPACES_SLIDING_WINDOW_COUNTER_H_
--- a/libs/workspaces/src/rate_quota.cc
+++ b/libs/workspaces/src/rate_quota.cc
@@ -117,12 +117,12 @@
     // On a small VM the list of the fleet is read seconds after the start;
     // until then the size that faster peers report is used.
     const auto reachable =
-        static_cast<double>(fleet_size() - unreachable_count_);
+        static_cast<double>(fleet_size() - unreachable_peer_count_);
     const double all =
         advertised_fleet_size_ > 0 ? advertised_fleet_size_ : kAssumedFleetSize;
     return std::min(1.0, reachable / all);
   }
-  if (unreachable_count_ == 0) return 1;
+  if (unreachable_peer_count_ == 0) return 1;
   const double equal_share = 1.0 / static_cast<double>(fleet_size());
   double unreachable_share = 0;
   for (const auto& [gateway, peer] : peers_) {
@@ -148,7 +148,7 @@
       Overage(kCountingOverageShare, WindowLimit(limit));
   for (size_t span = 0; span < kRateSpans; ++span) {
     const double max_requests =
-        limit.MaxRequestsIn(ToSeconds(SpanOf(span))) + counting_overage;
+        limit.MaxRequestsIn(ToSeconds(SpanLength(span))) + counting_overage;
     if (totals.reachable_in_spans[span] + 1 > std::max(1.0, max_requests))
       return false;
   }
@@ -166,16 +166,16 @@
   if (!fits(totals.all, window_limit + counting_overage))
     return RateVerdict::kOverRate;
   if (!FitsAllSpans(limit, totals)) return RateVerdict::kOverRate;
-  const double since_start = MaxSinceStart(limit, now);
-  if (!fits(totals.all, since_start)) return RateVerdict::kStarting;
+  const double max_since_start = MaxSinceStart(limit, now);
+  if (!fits(totals.all, max_since_start)) return RateVerdict::kStarting;
   const double share = ReachableShare(workspace);
   const double available =
-      std::min(since_start,
+      std::min(max_since_start,
                window_limit + Overage(kPartitionOverageShare, window_limit));
   const double max_requests =
       std::max(kMinRequestsPerWindow, share * available);
   if (share < 1 && !fits(totals.reachable, max_requests)) {
-    return RateVerdict::kSplit;
+    return RateVerdict::kPartitioned;
   }
   return RateVerdict::kAdmitted;
 }
@@ -208,11 +208,11 @@
                         .limit = WindowLimit(limit),
                         .total_admitted = totals.all,
                         .own_admitted = totals.own,
-                        .unreachable_gateways = unreachable_count_};
+                        .unreachable_gateways = unreachable_peer_count_};
   OwnCounts& own = own_.try_emplace(workspace, settings_.window).first->second;
   own.used_at = now;
   if (decision.verdict == RateVerdict::kAdmitted) {
-    own.window.Add(now);
+    own.admitted.Add(now);
     if (!std::exchange(own.changed, true)) changed_.push_back(workspace);
     return decision;
   }
@@ -230,7 +230,7 @@
                        TimePoint now) {
   const auto own = own_.find(workspace);
   if (own == own_.end()) return;
-  own->second.window.Remove(admitted_at, now);
+  own->second.admitted.Remove(admitted_at, now);
 }
 
 void RateQuota::SetMembers(const std::vector<GatewayHash>& others,
@@ -241,7 +241,7 @@
     const auto [peer, is_new] = peers_.try_emplace(gateway);
     if (!is_new) continue;
     peer->second.unreachable_since = now;
-    ++unreachable_count_;
+    ++unreachable_peer_count_;
   }
 }
 
@@ -261,7 +261,7 @@
   Peer& peer = found->second;
   if (is_new) {
     peer.unreachable_since = now;
-    ++unreachable_count_;
+    ++unreachable_peer_count_;
   }
   if (start != peer.start) {
     KeepPreviousCounts(gateway, peer);
@@ -297,7 +297,7 @@
   const auto peer = peers_.find(gateway);
   if (peer == peers_.end()) return;
   KeepPreviousCounts(gateway, peer->second);
-  if (peer->second.unreachable) --unreachable_count_;
+  if (peer->second.unreachable) --unreachable_peer_count_;
   peers_.erase(peer);
 }
 
@@ -313,7 +313,7 @@
                             TimePoint now) const {
   const auto own = own_.find(workspace);
   if (own == own_.end()) return 1;
-  const AdmissionWindow& window = own->second.window;
+  const SlidingWindowCounter& window = own->second.admitted;
   const double count = window.CountIn(settings_.window, now);
   const double before = count - window.CountIn(now - since, now);
   return std::clamp(count / std::max(1.0, before), 1.0, kMaxGrowthFactor);
@@ -333,7 +333,7 @@
       peer.demand_share[workspace] = grown / (all - reported + grown);
   }
   peer.unreachable = true;
-  ++unreachable_count_;
+  ++unreachable_peer_count_;
 }
 
 void RateQuota::Expire(TimePoint now) {
@@ -347,14 +347,14 @@
     } else {
       peer.unreachable = false;
       peer.demand_share.clear();
-      --unreachable_count_;
+      --unreachable_peer_count_;
     }
   }
   std::erase_if(peers_, [&](const auto& element) {
     const Peer& peer = element.second;
     if (!peer.unreachable || now - peer.unreachable_since < kPeerRemovalTimeout)
       return false;
-    --unreachable_count_;
+    --unreachable_peer_count_;
     removed_peers_.insert(element.first);
     return true;
   });
@@ -371,12 +371,12 @@
                                  TimePoint now) const {
   AdmittedCount count{.workspace = workspace};
   for (size_t span = 0; span < kRateSpans; ++span) {
-    count.in_spans[span] = own.window.CountIn(SpanOf(span), now);
+    count.in_spans[span] = own.admitted.CountIn(SpanLength(span), now);
   }
   return count;
 }
 
-RateReport RateQuota::TakeDeltaReport(TimePoint now) {
+RateReport RateQuota::TakeIncrementalReport(TimePoint now) {
   RateReport report{.uptime = now - started_at_};
   for (const WorkspaceHash workspace : std::exchange(changed_, {})) {
     const auto own = own_.find(workspace);
@@ -419,8 +419,9 @@
 
 uint32_t RateQuota::OwnCount(WorkspaceHash workspace, TimePoint now) const {
   const auto own = own_.find(workspace);
-  return own == own_.end() ? 0
-                           : own->second.window.CountIn(settings_.window, now);
+  return own == own_.end()
+             ? 0
+             : own->second.admitted.CountIn(settings_.window, now);
 }
 
 uint32_t RateQuota::OwnRejected(WorkspaceHash workspace, TimePoint now) const {
--- a/libs/workspaces/tests/other_quotas.h
+++ b/libs/workspaces/tests/other_quotas.h
@@ -6,11 +6,11 @@
 #include <map>
 #include <vector>
 
-#include "workspaces/admission_window.h"
 #include "workspaces/rate_decision.h"
 #include "workspaces/rate_limit.h"
 #include "workspaces/rate_quota_settings.h"
 #include "workspaces/rate_report.h"
+#include "workspaces/sliding_window_counter.h"
 
 namespace knapweedstile::workspaces {
 
@@ -59,7 +59,9 @@
     count.in_spans.back() = window_.CountIn(settings_.window, now);
     return {.admitted = {count}};
   }
-  RateReport TakeDeltaReport(TimePoint now) const { return FullReport(now); }
+  RateReport TakeIncrementalReport(TimePoint now) const {
+    return FullReport(now);
+  }
 
  private:
   static constexpr std::chrono::seconds kSecond{1};
@@ -68,7 +70,7 @@
     AdmittedCount count;
   };
   RateQuotaSettings settings_;
-  AdmissionWindow window_;
+  SlidingWindowCounter window_;
   std::map<GatewayHash, ReportedCount> peers_;
 };
 
@@ -140,7 +142,7 @@
     AcceptGrant(own_grant, now);
     return report;
   }
-  RateReport TakeDeltaReport(TimePoint now) const {
+  RateReport TakeIncrementalReport(TimePoint now) const {
     return {.admitted = {DemandAt(now)}};
   }
 
@@ -164,7 +166,7 @@
   }
 
   GatewayHash own_;
-  AdmissionWindow demand_;
+  SlidingWindowCounter demand_;
   RateLimit limit_;
   double fleet_size_ = 1;
   double tokens_ = 0;
--- a/libs/workspaces/tests/rate_model.h
+++ b/libs/workspaces/tests/rate_model.h
@@ -164,7 +164,7 @@
   void Send(size_t from, bool incremental, Time now, Result& result) {
     Gateway& gateway = gateways_[from];
     auto report = std::make_shared<RateReport>(
-        incremental ? gateway.quota->TakeDeltaReport(At(now))
+        incremental ? gateway.quota->TakeIncrementalReport(At(now))
                     : gateway.quota->FullReport(At(now)));
     for (size_t to = 0; to < gateways_.size(); ++to) {
       if (to == from) continue;
--- a/libs/workspaces/tests/admission_window_test.cc
+++ b/libs/workspaces/tests/sliding_window_counter_test.cc
@@ -1,4 +1,4 @@
-#include "workspaces/admission_window.h"
+#include "workspaces/sliding_window_counter.h"
 
 #include <catch2/catch.hpp>
 
@@ -13,7 +13,7 @@
 }  // namespace
 
 TEST_CASE("CountIn counts the requests of a span and at most one bucket more") {
-  AdmissionWindow window(kLongest);
+  SlidingWindowCounter window(kLongest);
   for (int i = 0; i < 50; ++i) window.Add(kNow + milliseconds(i * 100));
   const TimePoint end = kNow + milliseconds(4900);
   CHECK(window.CountIn(milliseconds(1000), end) >= 10);
@@ -26,7 +26,7 @@
 }
 
 TEST_CASE("Remove subtracts from the bucket that counted the request") {
-  AdmissionWindow window(kLongest);
+  SlidingWindowCounter window(kLongest);
   window.Add(kNow);
   window.Add(kNow + milliseconds(3000));
   window.Remove(kNow, kNow + milliseconds(3000));
@@ -40,7 +40,7 @@
 // Guards against old counts after a long gap: a workspace that sends nothing
 // for an hour starts again with an empty window.
 TEST_CASE("a long gap between requests empties the window") {
-  AdmissionWindow window(kLongest);
+  SlidingWindowCounter window(kLongest);
   for (int i = 0; i < 1000; ++i) window.Add(kNow);
   const TimePoint later = kNow + std::chrono::hours(1);
   window.Add(later);
--- a/tests/users_platform/kind_mirror_test.cc
+++ b/tests/users_platform/kind_mirror_test.cc
@@ -121,7 +121,7 @@
   fed.Start();
   reader.Start();
   REQUIRE(caller.RunUntil([&] { return fed.listed() && reader.listed(); }));
-  const uint64_t calls_of_start = fed_calls.calls();
+  const uint64_t calls_of_start = fed_calls.call_count();
 
   const auto put = [&](const std::string& name) {
     const size_t known = later.size();
@@ -132,17 +132,17 @@
   CHECK(seen.empty());
   fed.OnStoreUpdate(StoreUpdate(later.back()));
   CHECK(seen == std::set<std::string>{"a"});
-  CHECK(fed_calls.calls() == calls_of_start);
+  CHECK(fed_calls.call_count() == calls_of_start);
   // The same from the other reader changes nothing.
   fed.OnStoreUpdate(StoreUpdate(later.back()));
-  CHECK(fed_calls.calls() == calls_of_start);
+  CHECK(fed_calls.call_count() == calls_of_start);
 
   // The news of "b" are lost.
   put("b");
   put("c");
   fed.OnStoreUpdate(StoreUpdate(later.back()));
   CHECK(caller.RunUntil([&] { return seen.size() == 3; }));
-  CHECK(fed_calls.calls() == calls_of_start + 1);
+  CHECK(fed_calls.call_count() == calls_of_start + 1);
 
   // Without readers it follows the store by itself.
   put("d");
