--- a/libs/gateway/src/batch/batch_runner.cc
+++ b/libs/gateway/src/batch/batch_runner.cc
@@ -15,21 +15,25 @@
 using serving::ItemRef;
 using serving::ItemState;
 
-// A preempted item waits this long before it restarts: the burst that took its
-// slot usually continues, and each resumption processes the prompt again (33 ms
-// of backend server time).
+// Pause before an item that was preempted or withdrawn may start again. The
+// burst that took its slot usually continues, and each resumption processes the
+// prompt again, which costs 33 ms of backend server time.
 constexpr std::chrono::milliseconds kRequeuePause{150};
-// Peers receive the report of a start within a few milliseconds.
+// Length of the window for which the start budgets are computed (see
+// ConsumeBudget()): peers receive the report of a start within a few
+// milliseconds, so the next budget takes their starts into account.
 constexpr std::chrono::milliseconds kStartWindow{25};
-// A run that is not queued at the backend server receives its first event
-// within 70 ms.
+// A run without an event for this long is assumed to be queued at the backend
+// server; other runs receive their first event within 70 ms.
 constexpr std::chrono::milliseconds kQueuedThreshold{90};
 // Time to the first event: online requests may be queued ahead, and the backend
 // server may process other prompts first.
 constexpr std::chrono::milliseconds kFirstEventTimeout{4000};
-// A configuration is active on all gateways within two seconds, or within seven
-// seconds while the store is degraded.
+// Pause before the route of a waiting item is looked up again.
 constexpr std::chrono::milliseconds kRouteRetryPause{500};
+// An item whose route stays missing for this long fails. A new configuration is
+// normally active on all gateways within two seconds, but only within seven
+// while the store is degraded.
 constexpr std::chrono::milliseconds kMissingRouteTimeout{4000};
 // Median duration of an item's run on a busy backend server.
 constexpr std::chrono::milliseconds kTypicalRunDuration{4500};
@@ -131,10 +135,11 @@
     PreemptItem(server);
 }
 
-// Guards against items that fail permanently because this gateway has just
-// started, or its watch lags, and it does not yet know the route under which
-// the job was accepted. A route counts as removed only if it stays missing
-// under a known configuration.
+// Postpones an item whose route is missing. Guards against items that fail
+// permanently because this gateway has just started, or has not yet received
+// the configuration under which the job was accepted. The item fails only if
+// the route stays missing for kMissingRouteTimeout after a configuration was
+// loaded.
 void BatchRunner::WaitForRoute(const ItemRef& item, TimePoint now) {
   jobs_.SetWaiting(item, now + kRouteRetryPause);
   if (routes_.version == 0) return;
@@ -165,10 +170,11 @@
   return true;
 }
 
-// Guards against gateways that take the same free slots at the same time and so
-// place more items on a server than it has slots. The queued items delay the
-// online requests behind them for seconds. Such a server is oversubscribed and
-// has runs that have received no event.
+// Withdraws one run from each oversubscribed server that has runs without an
+// event: it is probably queued there. Guards against gateways that take the
+// same free slots at the same time and so place more items on a server than it
+// has slots. The queued items delay the online requests behind them for
+// seconds.
 void BatchRunner::WithdrawQueuedRuns(TimePoint now) {
   std::map<BackendServerId, ExchangeId> queued_by_server;
   for (const auto& [exchange, run] : runs_) {
--- a/libs/gateway/src/batch/batch_runner.h
+++ b/libs/gateway/src/batch/batch_runner.h
@@ -23,7 +23,9 @@
 
 namespace knapweedstile::gateway {
 
-// Runs the items of batch jobs on slots that online requests do not use.
+// Runs the items of batch jobs on slots that online requests do not use. A run
+// is one attempt to execute an item on a backend server. batch_answers.cc
+// defines the members that handle the servers' responses and end a run.
 class BatchRunner {
  public:
   struct Callbacks {
@@ -47,20 +49,22 @@
               Callbacks callbacks);
 
   // Starts items while there is capacity, and ends runs that have stalled or
-  // are no longer needed.
+  // are no longer needed. Called every 20 ms and after events that may let an
+  // item start. Does not block.
   void Run(TimePoint now);
   // Preempts items that block waiting online requests. Called every 20 ms.
   void PreemptBlockingItems(TimePoint now);
   // Preempts the running item with the latest due time on the backend server;
   // its output so far is kept.
   void PreemptItem(BackendServerId server);
-  // The backend server's process has terminated, and all its runs with it.
+  // The process behind `previous_server` has terminated, and all runs on it
+  // with it.
   void OnServerRestarted(BackendServerId previous_server);
   // Ends all runs so that peers can resume the items; the output so far is
   // kept.
   void EndAll();
 
-  // Hashes of the running items' ids.
+  // Hashes of the ids of the running items, for peers.
   std::vector<uint64_t> RunningItemHashes() const;
   size_t running() const noexcept { return runs_.size(); }
 
@@ -73,14 +77,15 @@
     BackendServerId server;
     ExchangeId exchange;
     TimePoint started_at;
-    TimePoint stalls_at;  // the run has stalled without an event by then
+    TimePoint stalls_at;  // stalled if no event arrives before then
     unsigned status = 0;
     http::HeaderList head;
     bool received_event = false;
     serving::EventStreamReader reader;
   };
+  // kHandled: the item was started, waits for its route, or failed without one.
   enum class StartResult { kHandled, kNoCapacity };
-  // Number of items that may still be started in the current window, by
+  // Number of items that may still be started before start_window_ends_at_, by
   // service.
   using StartBudgets = std::map<std::string, uint32_t, std::less<>>;
 
@@ -91,8 +96,10 @@
   void OnBody(ItemRun& run, std::string_view data);
   bool ReadEvents(ItemRun& run);
   void OnEnd(ItemRun& run, const http::EndEvent& event);
+  // Handles a response that was received completely, of any status.
   void OnComplete(ItemRun& run);
   void OnErrorResponse(ItemRun& run);
+  // Handles a run that ended without a complete response.
   void OnAttemptBroken(ItemRun& run, std::string_view reason);
   bool ConsumeBudget(const std::string& service, TimePoint now);
   void WithdrawQueuedRuns(TimePoint now);
--- a/libs/gateway/src/peers/progress_link.cc
+++ b/libs/gateway/src/peers/progress_link.cc
@@ -14,7 +14,7 @@
 namespace json = boost::json;
 
 constexpr char kTarget[] = "/progress";
-// The next updates follow within a second.
+// The item's next update, which replaces this one, is sent within a second.
 constexpr std::chrono::milliseconds kSendTimeout{600};
 
 ProgressLink::Updates ParseUpdates(const json::array& list) {
@@ -37,7 +37,7 @@
       client_(io, PeerClientSettings(), [](http::ClientEvent&& event) {
         const auto* end = std::get_if<http::EndEvent>(&event);
         if (!end || end->outcome == http::ClientOutcome::kComplete) return;
-        // The next updates compensate for it.
+        // Not retried: the item's next update replaces this one.
         LogInfo("progress_not_sent",
                 {{"outcome", NameOf(end->outcome)}, {"reason", end->message}});
       }) {}
--- a/libs/gateway/src/peers/progress_link.h
+++ b/libs/gateway/src/peers/progress_link.h
@@ -14,13 +14,15 @@
 
 namespace knapweedstile::gateway {
 
-// Sends the progress of batch items to a peer. The state is soft: a lost update
-// costs the events since the previous one.
+// Sends the progress of batch items to peers, and passes the progress that
+// peers send to `received`. Updates are best effort: each holds the whole
+// output of the item so far and replaces the previous one. If an update is lost
+// and the gateway then ends, a peer resumes the item after the previous update.
 //
 // Guards against losing the output of running items when their gateway is
-// killed or stopped. During a rolling restart each item would be restarted from
-// the beginning at every stop, and items of ten seconds would never complete in
-// time.
+// killed or stopped. During a rolling restart an item would be restarted from
+// the beginning each time the gateway that runs it stops, and items that run
+// for ten seconds would never complete in time.
 class ProgressLink {
  public:
   using Updates = std::vector<serving::ProgressUpdate>;
@@ -29,7 +31,9 @@
                std::function<void(Updates&&)> received);
 
   void Send(const std::string& address, const Updates& updates);
+  // Whether peers send progress to this request target.
   static bool IsTarget(std::string_view target);
+  // Handles a peer's request to that target. The caller sends the response.
   void OnRequest(const http::RequestEvent& request);
 
  private:
--- a/libs/gateway/src/store/store_calls.h
+++ b/libs/gateway/src/store/store_calls.h
@@ -26,11 +26,13 @@
   StoreCalls(boost::asio::io_context& io, const std::string& address);
 
   void Call(platform::StoreCall&& call, TimePoint deadline, Callback callback);
-  // Like Call(), but relayed through a peer while this gateway cannot reach the
-  // store.
+  // Like Call(), but while the store is unavailable to this gateway, calls that
+  // StoreRelay::MayRelay() allows are relayed through a peer, if there is one.
   void CallDirectOrRelayed(platform::StoreCall&& call, TimePoint deadline,
                            Callback callback);
   void SetRelay(StoreRelay* relay) noexcept { relay_ = relay; }
+  // Replaces the status of the object `name`, and nothing else of it, if its
+  // version is still `if_version`.
   void WriteStatus(const std::string& kind, const std::string& name,
                    uint64_t if_version, const std::string& value,
                    TimePoint deadline, Callback callback);
@@ -43,11 +45,13 @@
 
   // Whether calls can reach the store, directly or through a peer.
   bool reachable() const;
-  // False while the last calls went unanswered or were rejected.
+  // False if the latest direct call could not be sent, got no response or was
+  // throttled.
   bool available() const noexcept { return available_; }
   // When the store last became available after an outage; zero if there was no
   // outage since the start.
   TimePoint available_since() const noexcept { return available_since_; }
+  // Number of direct calls so far.
   uint64_t call_count() const noexcept { return last_token_; }
 
  private:
--- a/libs/serving/include/serving/event_stream_reader.h
+++ b/libs/serving/include/serving/event_stream_reader.h
@@ -19,14 +19,16 @@
  public:
   void Append(std::string_view bytes) { buffer_.append(bytes); }
   // The next complete event, if there is one. Its views are valid until the
-  // next call of any other member.
+  // next call of a non-const member function.
   std::optional<StreamEvent> Next();
-  // Whether the buffer holds bytes of an incomplete event.
+  // Whether bytes of an incomplete event remain. Meaningful after Next() has
+  // returned nullopt.
   bool HasIncompleteEvent() const noexcept { return offset_ < buffer_.size(); }
   void Reset();
 
  private:
-  // Length of the event at `offset_` with its empty line; zero: incomplete.
+  // Length of the event at `offset_`, including the empty line that ends it;
+  // zero if it is incomplete.
   size_t CompleteEventLength() const;
 
   std::string buffer_;
--- a/libs/serving/include/serving/slot_scheduler.h
+++ b/libs/serving/include/serving/slot_scheduler.h
@@ -51,12 +51,12 @@
 // - Without a free slot the request preempts a batch item, again by weighted
 //   random choice. Without a batch item to preempt it queues, but only as long
 //   as its latency objective allows. Beyond that it is rejected at once, with
-//   the time after which the queue will have moved.
+//   the time after which to retry.
 // - Batch items start only where a reserve of free slots remains, and each
 //   gateway uses its share of the headroom step by step, since gateways that
-//   start at the same moment all see the whole fleet free. (Four gateways after
-//   a common restart put 24 items on servers of 8 slots, and online requests
-//   waited 3 s behind them.)
+//   start at the same moment would all count the same slots as free. Without
+//   this, four gateways that restarted together put 24 items on servers of 8
+//   slots, and online requests waited 3 s behind them.
 class SlotScheduler {
  public:
   SlotScheduler(SlotSchedulerSettings settings, std::string own_zone,
@@ -69,8 +69,8 @@
   void Retain(std::span<const ServerRecord> records);
 
   // Sets this gateway's cell and the number of gateways in it, this one
-  // included; zero gateways: all that report. Before the first call the whole
-  // fleet is one cell.
+  // included. If `gateways` is zero, all gateways of the fleet are assumed to
+  // be in the cell. Before the first call the whole fleet is one cell.
   void SetCell(const Cell& cell, size_t gateways);
 
   // Commands: requests of this gateway.
@@ -208,7 +208,8 @@
                     std::span<const BackendServerId> excluded, TimePoint now);
   Placement PreemptBatch(Server& server);
   Placement PlaceInQueue(Server& server, Duration objective);
-  // Makes the process of the record the one that peer reports refer to.
+  // Updates the index by process, which finds the server that a peer report
+  // refers to.
   void IndexProcess(Server& server);
   // Removes the previous process when the record is of a restarted server.
   void RemovePreviousProcess(const ServerRecord& record);
--- a/libs/serving/src/event_stream_reader.cc
+++ b/libs/serving/src/event_stream_reader.cc
@@ -10,7 +10,8 @@
   return line;
 }
 
-// The value of `field: value`, without the one optional space.
+// Returns the value if `line` is of that field, without the optional space
+// after the colon; nullopt otherwise.
 std::optional<std::string_view> FieldValue(std::string_view line,
                                            std::string_view field) {
   if (!line.starts_with(field)) return std::nullopt;
--- a/libs/serving/src/slot_scheduler.cc
+++ b/libs/serving/src/slot_scheduler.cc
@@ -13,8 +13,9 @@
 // twenty requests, a fraction of a second at usual rates.
 constexpr double kDurationWeight = 0.05;
 
-// On an oversubscribed server the preempted item may itself be queued, so that
-// preempting it frees no slot and moves the request up by one position only.
+// Factor on the preemption weight of an oversubscribed server. The preempted
+// item may itself be queued there, so that preempting it frees no slot and
+// moves the request up by one position only.
 constexpr double kOversubscribedFactor = 0.02;
 
 uint32_t& CountOf(ServerUsage& usage, TrafficClass traffic) {
@@ -27,10 +28,9 @@
                              std::string own_zone, uint64_t seed)
     : settings_(settings), own_zone_(std::move(own_zone)), rng_(seed) {}
 
-// Guards against state of a crashed process that would apply to its successor:
-// a server restarts under its old name, idle, while usage, failures and backoff
-// belong to the previous process. The previous process is kept as a separate,
-// removed server until its requests have ended.
+// Keeps usage, failures and backoff of a crashed process apart from those of
+// the process that restarts, idle, under the same name. The previous process is
+// kept as a separate, removed server until its requests have ended.
 void SlotScheduler::RemovePreviousProcess(const ServerRecord& record) {
   const auto known = by_instance_.find(record.instance);
   if (known == by_instance_.end()) return;
@@ -230,11 +230,12 @@
 
 // Guards against collisions on the last free slots: peers take the same slot
 // before their reports arrive, and one of two requests waits for a whole run.
-// The slot of an own batch item is certain. The threshold is the number of
-// slots that peers take within the report delay, by their observed rate. With a
+// They cannot take the slot of one of this gateway's own batch items. Free
+// slots are scarce if there are fewer than a multiple of what peers are
+// expected to take within the report delay, by their observed rate of starts. A
 // fixed threshold of a tenth of the slots, which is about what batch leaves
-// free, almost every online request of four gateways preempted an item although
-// slots were free (843 preemptions for 380 items in one replayed day).
+// free, made almost every online request of four gateways preempt an item
+// although slots were free: 843 preemptions for 380 items in one replayed day.
 bool SlotScheduler::FreeSlotsAreScarce(std::string_view service,
                                        TimePoint now) const {
   const auto rate = peer_start_rate_.find(std::string(service));
--- a/libs/workspaces/include/workspaces/rate_quota.h
+++ b/libs/workspaces/include/workspaces/rate_quota.h
@@ -31,9 +31,9 @@
 // those it has received. A workspace whose callers reach a single gateway can
 // use the whole rate there at once.
 //
-// Requests that a gateway has no report of would be admitted twice. Their
-// number is bounded, so that the total stays within the limit plus the overage
-// that the settings allow:
+// A gateway may use quota that peers have already used but not yet reported to
+// it. The number of such requests is bounded, so that the total stays within
+// the limit plus the overage that the settings allow:
 //
 // - Both sides detect a partition within half a second, because a report lists
 //   the peers that its sender gets no reports from. What is admitted until then
@@ -43,7 +43,8 @@
 //   of gateways. The shares of all groups add up to the limit.
 // - A gateway that starts has no counts of the last seconds. Peers report to it
 //   what its previous process had admitted. If all gateways have just started,
-//   no counts exist, and the limit grows from almost nothing.
+//   no counts exist, and the limit starts at a part of the overage and grows
+//   with the time since the start.
 class RateQuota {
  public:
   RateQuota(const RateQuotaSettings& settings, GatewayHash own_gateway,
@@ -58,8 +59,9 @@
   void Refund(WorkspaceHash workspace, TimePoint admitted_at, TimePoint now);
   // Sets all other gateways of the fleet, reachable or not.
   void SetMembers(const std::vector<GatewayHash>& others, TimePoint now);
-  // Takes in a report of `gateway`. `start` identifies the process of the
-  // gateway. A report that is `incremental` holds only what has changed.
+  // Takes in a report of `gateway`. `start` is the start time of its process,
+  // which identifies it among the processes of the same gateway. A report that
+  // is `incremental` holds only what has changed.
   void OnReport(GatewayHash gateway, uint64_t start, const RateReport& report,
                 bool incremental, TimePoint now);
   // Removes a gateway that has stopped as planned. No share of the limit is
@@ -92,7 +94,7 @@
     bool changed = false;       // since the last report
   };
   struct Peer {
-    uint64_t start = 0;
+    uint64_t start = 0;  // of its process; zero: no report received yet
     bool full_report_received = false;  // from this process
     bool receives_our_reports = false;
     bool unreachable = true;
@@ -103,7 +105,8 @@
     // Its share of each workspace's demand when it became unreachable.
     std::unordered_map<WorkspaceHash, double> demand_share;
   };
-  // What a process of a peer that has ended had admitted.
+  // What a process of a gateway had admitted by its last report. The process
+  // has been restarted or removed since.
   struct PreviousCount {
     uint32_t count = 0;
     TimePoint counted_at{};
@@ -112,7 +115,8 @@
   struct AdmittedTotals {
     double all = 0;
     double reachable = 0;  // own and of peers that exchange reports with us
-    // The same, in each span of the window.
+    // The same in each span. Spans end now and are 1/n, 2/n, ... n/n of the
+    // window, with n = kRateSpans.
     std::array<double, kRateSpans> reachable_in_spans{};
     uint32_t own = 0;
   };
@@ -155,8 +159,8 @@
   TimePoint started_at_;
   Rng rng_;
   bool members_known_ = false;
-  uint32_t advertised_fleet_size_ = 0;   // the largest that peers reported
-  uint32_t unreachable_peer_count_ = 0;  // peers
+  uint32_t advertised_fleet_size_ = 0;  // the largest that peers reported
+  uint32_t unreachable_peer_count_ = 0;
   std::unordered_map<WorkspaceHash, OwnCounts> own_;
   std::vector<WorkspaceHash> changed_;
   std::map<GatewayHash, Peer> peers_;
--- a/libs/workspaces/src/rate_quota.cc
+++ b/libs/workspaces/src/rate_quota.cc
@@ -12,11 +12,15 @@
 // No share of a limit is kept for a peer that is unreachable for longer.
 constexpr std::chrono::seconds kPeerRemovalTimeout{30};
 
-// Shares of the overage: for counts that arrive late and are rounded up, for
-// the groups of a partitioned fleet, and for the first seconds after the fleet
-// has started. The rest covers what is admitted until a partition is detected.
+// Fractions of the allowed overage. Each raises a bound of its own in Decide().
+// Always applies: counts arrive late and are rounded up.
 constexpr double kCountingOverageShare = 0.2;
+// Applies while not all gateways are reachable or known. This and the fraction
+// above leave the rest of the overage for requests that are admitted before a
+// partition is detected.
 constexpr double kPartitionOverageShare = 0.4;
+// Applies while counts of the last window are missing after a start. It is not
+// added to the fraction for a partition: the lower of the two bounds applies.
 constexpr double kStartupOverageShare = 0.5;
 
 // How much of an unreachable peer's share of the limit follows its demand; the
@@ -55,8 +59,8 @@
   return share * (settings_.overage_share * limit + settings_.slack_requests);
 }
 
-// An old count is not reduced until all of it may have left the window: reports
-// do not say when within the window the requests were admitted.
+// A count is kept in full until all its requests have left the window: reports
+// do not say when within the window they were admitted.
 uint32_t RateQuota::CountStillInWindow(uint32_t count, TimePoint reported_at,
                                        TimePoint now) const {
   return now - reported_at < settings_.window ? count : 0;
@@ -96,9 +100,9 @@
   return totals;
 }
 
-// Guards against a second burst after a common restart: all gateways are killed
-// while a workspace is at its limit, restart within a second and have no counts
-// of what was admitted before. The time before the start of the oldest
+// Guards against a second burst after a restart of all gateways: they are
+// killed while a workspace is at its limit, restart within a second and have no
+// counts of what was admitted before. The time before the start of the oldest
 // reachable process is assumed to be as full as the limit allows, so that only
 // as much is admitted as has left the window since that start.
 double RateQuota::MaxSinceStart(const RateLimit& limit, TimePoint now) const {
@@ -114,8 +118,8 @@
 
 double RateQuota::ReachableShare(WorkspaceHash workspace) const {
   if (!members_known_) {
-    // On a small VM the list of the fleet is read seconds after the start;
-    // until then the size that faster peers report is used.
+    // The list of gateways may be read only seconds after the start, on a small
+    // VM. Until then the fleet size that peers report is used.
     const auto reachable =
         static_cast<double>(fleet_size() - unreachable_peer_count_);
     const double all =
@@ -138,10 +142,11 @@
   return std::max(0.0, 1 - unreachable_share);
 }
 
-// Guards against a workspace that was idle and uses the rate of the full window
-// in its first seconds. If all gateways then restart, that burst and the rate
-// that grows from the start would fall into one window. With each span limited,
-// both fit into one window together.
+// Limits each span, not only the whole window. Guards against a workspace that
+// was idle and uses the whole window's limit within its first seconds: if all
+// gateways then restarted and lost their counts, what they admit after the
+// restart would fall into the same window and exceed the limit. With each span
+// limited, the requests before and after the restart fit the window together.
 bool RateQuota::FitsAllSpans(const RateLimit& limit,
                              const AdmittedTotals& totals) const {
   const double counting_overage =
@@ -301,9 +306,9 @@
   peers_.erase(peer);
 }
 
-// Guards against a process that was paused for seconds, has only the reports
-// from before the pause, takes the limits for unused and admits once more what
-// peers have admitted in the meantime.
+// After a pause of seconds the counts of peers are out of date. Guards against
+// a process that would admit requests for quota that peers used during the
+// pause.
 void RateQuota::OnPaused() {
   for (auto& [gateway, peer] : peers_) peer.full_report_received = false;
 }
@@ -324,8 +329,9 @@
   peer.demand_share.clear();
   for (const auto& [workspace, count] : peer.counts) {
     const double all = TotalsOf(workspace, now).all;
-    // What the peer has admitted since its last report is missing here, as ours
-    // is missing there: its count is assumed to have grown as the own one has.
+    // The peer's requests since its last report are unknown: its count is
+    // assumed to have grown by the same factor as the own count. The peer
+    // assumes the same of this gateway.
     const double reported = count.in_window();
     const double grown =
         reported * OwnGrowth(workspace, peer.last_report_at, now);
