--- a/scripts/guards_off.py
+++ b/scripts/guards_off.py
@@ -23,7 +23,7 @@
 GUARDS = {
     "at_most_once": [
         (GATEWAY + "online/online_answers.cc",
-         "return repeatable && call.runs", "return call.runs"),
+         "return retryable && call.runs", "return call.runs"),
         (GATEWAY + "online/online_answers.cc",
          "call.runs + 1 < call.route.max_attempts &&\n         MonotonicNow()",
          "call.runs < 2 &&\n         MonotonicNow()"),
@@ -31,32 +31,33 @@
     "not_run_is_true": [
         (GATEWAY + "online/online_answers.cc",
          "Fail(call, timeout ? kGatewayTimeout : kBadGateway, reason);",
-         "Refuse(call, kRetryAfterBroken, reason);"),
+         "Reject(call, kRetryAfterFailedAttempts, reason);"),
     ],
     "foreign_answers": [
         (GATEWAY + "online/online_answers.cc",
-         "if (answer.request_id != call.request_id || !answer.signed_answer) {\n"
-         "    connections_.Cancel",
+         "if (response.request_id != call.request_id ||"
+         " !response.signed_answer) {\n    connections_.Cancel",
          "if (call.request_id.empty()) {\n    connections_.Cancel"),
         (GATEWAY + "online/online_answers.cc",
-         "if (answer.request_id != call.request_id || !answer.signed_answer) {\n"
-         "    return",
+         "if (response.request_id != call.request_id ||"
+         " !response.signed_answer) {\n    return",
          "if (call.request_id.empty()) {\n    return"),
     ],
     "resume_after_last_event": [
         (GATEWAY + "online/online_calls.cc",
-         "if (call.passing) fields.after_event = call.last_event;", ""),
+         "if (call.response_started) fields.after_event = call.last_event;", ""),
         (GATEWAY + "online/online_answers.cc",
          "*event->id != *call.last_event + 1", "*event->id == 0"),
     ],
     "partial_event": [
         (GATEWAY + "online/online_answers.cc",
-         'if (call.reader.HasPartial()) return OnBroken(call, "partial_event");',
-         ""),
+         'if (call.reader.HasIncompleteEvent())\n'
+         '      return OnAttemptBroken(call, "partial_event");', ""),
         (GATEWAY + "online/online_answers.cc",
-         "return OnBroken(call, NameOf(event.outcome));",
-         "return call.passing ? OnComplete(call)\n"
-         "                        : OnBroken(call, NameOf(event.outcome));"),
+         "return OnAttemptBroken(call, NameOf(event.outcome));",
+         "return call.response_started\n"
+         "               ? OnComplete(call)\n"
+         "               : OnAttemptBroken(call, NameOf(event.outcome));"),
     ],
     "configuration_watch": [
         (GATEWAY + "gateway.cc",
@@ -64,11 +65,11 @@
          "if (routes_.version != 0) return {};"),
     ],
     "draining_servers": [
-        ("libs/serving/src/slot_board.cc",
-         "!server.gone && !server.record.draining &&", ""),
+        ("libs/serving/src/slot_scheduler.cc",
+         "!server.removed && !server.record.draining &&", ""),
     ],
     "graceful_stop": [
-        (GATEWAY + "gateway.cc", "callers_.BeginDraining();", "io_.stop();"),
+        (GATEWAY + "gateway.cc", "caller_server_.BeginDraining();", "io_.stop();"),
     ],
     "written_before_accepted": [
         (GATEWAY + "batch/job_writer.cc", "  Write(id);\n}\n\nvoid JobWriter::Write(",
@@ -80,7 +81,7 @@
          "    case StoreOutcome::kConflict:\n    case StoreOutcome::kUnknown:\n"
          "      return ReadBack(job, pending.number);",
          "    case StoreOutcome::kConflict:\n    case StoreOutcome::kUnknown:\n"
-         "      return Adopt(job, pending.number,"
+         "      return ApplySegment(job, pending.number,"
          " std::move(pending.results));"),
     ],
     "caller_gone": [
@@ -89,18 +90,19 @@
          "Finish"),
     ],
     "ended_job": [
-        (GATEWAY + "batch/batch_runner.cc", "!job || job->ended || listed",
-         "!job || listed"),
+        (GATEWAY + "batch/batch_runner.cc", "!job || job->ended || committed",
+         "!job || committed"),
         ("libs/serving/include/serving/batch_job.h",
          "return !ended && !complete();", "return !complete();"),
     ],
     "quota": [
-        ("libs/serving/src/quota_guard.cc",
+        ("libs/serving/src/quota_limiter.cc",
          "return static_cast<double>(unheard + tokens) <= share",
          "return share >= 0"),
     ],
     "quota_at_all": [
-        (GATEWAY + "batch/job_writer.cc", "if (request.most_waiting_tokens == 0) return",
+        (GATEWAY + "batch/job_writer.cc",
+         "if (request.max_waiting_tokens == 0) return",
          "if (request.tokens != 0) return"),
     ],
     "deadline": [
@@ -116,22 +118,23 @@
          "if (IsIdentityField(name)) return true;", ""),
     ],
     "keys_are_asked_for": [
-        (GATEWAY + "callers/intake.cc",
+        (GATEWAY + "callers/request_admission.cc",
          "identity.access == CallerAccess::kGranted", "!is_public"),
     ],
     "taken_keys_are_gone": [
-        ("libs/workspaces/src/directory.cc", "  names_by_key_.clear();\n", ""),
+        ("libs/workspaces/src/workspace_directory.cc", "  names_by_key_.clear();\n", ""),
     ],
     "rate": [
-        (GATEWAY + "callers/intake.cc",
-         "if (answer.verdict == RateVerdict::kAdmitted) return true;",
+        (GATEWAY + "callers/request_admission.cc",
+         "if (decision.verdict == RateVerdict::kAdmitted) return true;",
          "return true;"),
     ],
     "unknown_job_is_asked_for": [
-        (GATEWAY + "batch/batch_api.cc", "if (!known) return Fetch(caller, job);",
+        (GATEWAY + "batch/batch_api.cc",
+         "if (!known) return RespondUnknownJob(caller, job);",
          "if (!known) return Respond(caller, 404);"),
-        (GATEWAY + "gateway_records.cc", "push_.Push(record, peers_.LiveAddresses());",
-         ""),
+        (GATEWAY + "gateway_records.cc",
+         "record_push_.Push(record, peers_.LiveAddresses());", ""),
     ],
 }
 
