--- a/tests/users_platform/kind_mirror_test.cc
+++ b/tests/users_platform/kind_mirror_test.cc
@@ -125,7 +125,7 @@
   reader.Start();
   REQUIRE(
       caller.RunUntil([&] { return receiver.listed() && reader.listed(); }));
-  const uint64_t calls_after_start = receiver_calls.calls();
+  const uint64_t calls_after_start = receiver_calls.call_count();
 
   const auto put = [&](const std::string& name) {
     const size_t previous = updates.size();
@@ -136,17 +136,17 @@
   CHECK(seen.empty());
   receiver.OnStoreUpdate(StoreUpdate(updates.back()));
   CHECK(seen == std::set<std::string>{"a"});
-  CHECK(receiver_calls.calls() == calls_after_start);
+  CHECK(receiver_calls.call_count() == calls_after_start);
   // The same update from the other reader changes nothing.
   receiver.OnStoreUpdate(StoreUpdate(updates.back()));
-  CHECK(receiver_calls.calls() == calls_after_start);
+  CHECK(receiver_calls.call_count() == calls_after_start);
 
   // The update with "b" is lost.
   put("b");
   put("c");
   receiver.OnStoreUpdate(StoreUpdate(updates.back()));
   CHECK(caller.RunUntil([&] { return seen.size() == 3; }));
-  CHECK(receiver_calls.calls() == calls_after_start + 1);
+  CHECK(receiver_calls.call_count() == calls_after_start + 1);
 
   // Without readers the mirror follows the store by itself.
   put("d");
