--- a/apps/knapctl/src/compare_command.cc
+++ b/apps/knapctl/src/compare_command.cc
@@ -27,7 +27,7 @@
     case ComparisonVerdict::kSecondBetter:
       return plan.second + " is better";
     case ComparisonVerdict::kWithinNoise:
-      return "no significant difference (within noise)";
+      return "no significant difference";
   }
   return "";
 }
--- a/bench/slots_bench.cc
+++ b/bench/slots_bench.cc
@@ -39,7 +39,7 @@
                          [](auto& s) { s.least_used_rule = true; }},
                         {"no slot reserved for online",
                          [](auto& s) { s.scheduler.batch_reserve = 0; }},
-                        {"free slot before own preemption",
+                        {"free slot before own item's slot",
                          [](auto& s) { s.scheduler.scarce_factor = 0; }},
                         {"queued items are not withdrawn",
                          [](auto& s) { s.withdraw_seconds = 1e6; }},
