--- a/libs/gateway/src/batch/job_writer.cc
+++ b/libs/gateway/src/batch/job_writer.cc
@@ -30,7 +30,7 @@
 // the record mirrors, plus the duration of a read.
 constexpr std::chrono::seconds kMaxStoreReadInterval{65};
 constexpr uint32_t kMaxRejectedWrites = 3;
-// Below the store's limit on the size of a value, which leaves space for
+// Below the store's limit on the size of a value; the margin is for JSON
 // escapes.
 constexpr size_t kMaxRecordBytes = 1000000;
 constexpr int64_t kNanosPerMilli = 1000000;
@@ -69,6 +69,8 @@
   const bool known = upper_half ? callbacks_.has_all_records()
                                 : callbacks_.has_live_peer_records();
   if (known || verdict == serving::QuotaVerdict::kOverLimit) return verdict;
+  // The read may bring the missing jobs. The submission is deferred and checked
+  // again.
   callbacks_.refresh_records();
   return serving::QuotaVerdict::kAwaitPeers;
 }
@@ -95,8 +97,9 @@
     return done(SubmitOutcome::kTooLarge);
   }
   if (request.max_waiting_tokens != 0) {
-    // Cells do not know each other's jobs, so each cell uses only its share of
-    // the limit.
+    // In a fleet with several shards, a job is known only to the cell that
+    // holds its shard. Each cell therefore uses only a share of the limit: the
+    // share of all shards that it holds.
     const auto limit = static_cast<double>(request.max_waiting_tokens);
     request.max_waiting_tokens = std::max<uint64_t>(
         1, static_cast<uint64_t>(limit * callbacks_.shard_share()));
--- a/libs/gateway/src/batch/job_writer.h
+++ b/libs/gateway/src/batch/job_writer.h
@@ -33,8 +33,9 @@
 
 enum class EndOutcome { kEnded, kNotFound, kUnavailable };
 
-// Writes records of batch jobs and of their ends to the store, and retries
-// until it is known whether they are stored.
+// Writes to the store the records of batch jobs, and the records that end jobs
+// at their callers' request, and retries until it is known whether they are
+// stored.
 //
 // A job is accepted only once its record is known to be in the store. An
 // outcome that means "not accepted" is returned only if no write that was sent
@@ -57,8 +58,8 @@
     std::function<double()> shard_share;
     // Whether this gateway has all records that its live peers have written.
     std::function<bool()> has_live_peer_records;
-    // Whether this gateway has the records of all gateways: no peer is
-    // unreachable, or the store was read just now.
+    // Whether this gateway has received every record that a caller may already
+    // have seen on another gateway.
     std::function<bool()> has_all_records;
     // Schedules a read of the store's records.
     std::function<void()> refresh_records;
@@ -80,6 +81,7 @@
             Callbacks callbacks);
 
   void Submit(Request&& request, SubmitCallback done);
+  // Ends the job at a caller's request, so that no more of its items run.
   void End(const std::string& job, TimePoint give_up_at, EndCallback done);
   // Every live peer has this gateway's records up to sequence number `number`.
   // Checks the deferred submissions against the quota again.
@@ -87,7 +89,7 @@
   // Whether any accepted job is not yet acknowledged by all live peers, or any
   // submission is deferred until earlier jobs are.
   bool awaits_acknowledgement() const noexcept {
-    return !quota_.empty() || !deferred_.empty();
+    return !quota_.all_acknowledged() || !deferred_.empty();
   }
 
  private:
@@ -95,7 +97,9 @@
     Request request;
     SubmitCallback done;
     TimePoint give_up_at;
-    bool maybe_written = false;  // a write got no response
+    // A write may have taken effect: it got no response, or the record already
+    // exists.
+    bool maybe_written = false;
     uint32_t rejected_writes = 0;
   };
   using SubmissionId = uint64_t;
--- a/libs/gateway/src/gateway.h
+++ b/libs/gateway/src/gateway.h
@@ -51,8 +51,8 @@
 namespace knapweedstile::gateway {
 
 // One gateway: owns all components and connects their callbacks. Everything
-// runs on one thread, because with a fifth of a core the cost of handing work
-// to another thread exceeds the cost of the work itself.
+// runs on one thread: a gateway is deployed with a fifth of a core, where
+// handing work to another thread would cost more than the work itself.
 class Gateway {
  public:
   Gateway(boost::asio::io_context& io, const GatewaySettings& settings,
@@ -83,7 +83,8 @@
   // records.
   void UpdatePeers();
   // Proposes a sharded layout if the fleet is too large for every gateway to
-  // hold every job.
+  // hold every job. Each job then belongs to one shard, which one cell holds,
+  // and FleetView::divided() is true.
   void ProposeLayout(TimePoint now);
   // Whether this gateway has just started and still waits for the layout before
   // it exchanges state and accepts jobs.
@@ -131,8 +132,8 @@
   // Sends the progress of each running item to the gateway that would take over
   // its job. `step`: minimum number of new events to report.
   void SendProgress(TimePoint now, uint64_t step);
-  // Marks records of this gateway as acknowledged that the peer missed as
-  // pushes and has read from the store.
+  // The peer missed pushes of this gateway's records and has read these records
+  // from the store: marks them as acknowledged.
   void ConfirmRecoveredRecords(const PeerState& state);
   // Performs the steps of the shutdown that are due.
   void AdvanceStop(TimePoint now);
--- a/libs/gateway/src/gateway_peers.cc
+++ b/libs/gateway/src/gateway_peers.cc
@@ -35,6 +35,7 @@
 }
 
 void Gateway::UpdateCells() {
+  // With a sharded layout, the peers are the gateways of the same cell.
   if (fleet_.divided()) {
     const serving::Cell cell = fleet_.own_cell();
     gateways_in_cell_ = peers_.Zones().size() + 1;
@@ -90,6 +91,7 @@
   return {
       .draining = stop_began_at_ != kNever,
       .store_available = store_.available(),
+      // Zero means that the store was never lost; hence the added millisecond.
       .store_regained_millis_ago =
           was_lost ? static_cast<uint64_t>(ToMillis(since_regained)) + 1 : 0,
       .records = record_push_.count(),
--- a/libs/gateway/src/operators/policy_view.cc
+++ b/libs/gateway/src/operators/policy_view.cc
@@ -79,6 +79,7 @@
 void PolicyView::UpdateServerPolicies() {
   excluded_servers_.clear();
   if (catalog_.policies().empty() && server_policies_.empty()) return;
+  // The same policies as catalog_.policies(), as a list of pointers.
   const auto policies = catalog_.AllPolicies();
   std::map<BackendServerId, std::string> attached;
   for (const BackendServerId id : scheduler_.Servers()) {
@@ -87,12 +88,12 @@
         policies, {.labels = LabelsOf(record), .model = record.service});
     scheduler_.SetSharing(
         id, policy ? std::optional(policy->sharing) : std::nullopt);
-    const std::string now =
+    const std::string current =
         policy ? fmt::format("{}@{}", policy->name, policy->version)
                : std::string();
-    if (policy) attached[id] = now;
-    const auto before = server_policies_.find(id);
-    if ((before == server_policies_.end() ? "" : before->second) == now)
+    if (policy) attached[id] = current;
+    const auto previous = server_policies_.find(id);
+    if ((previous == server_policies_.end() ? "" : previous->second) == current)
       continue;
     LogInfo("policy_attached",
             {{"instance", record.instance},
--- a/libs/gateway/src/operators/policy_view.h
+++ b/libs/gateway/src/operators/policy_view.h
@@ -20,6 +20,8 @@
 
 // Applies the operators' objects to the backend servers: how each server is
 // shared between online and batch, and which servers a route's traffic may use.
+// In the operators' objects, a backend server is an engine and its service a
+// model.
 //
 // A backend server's labels are `service`, `availability_zone` and `software`
 // of its record, and those of the engine object whose `vm` is the server's
--- a/libs/gateway/src/peers/sync_tracker.cc
+++ b/libs/gateway/src/peers/sync_tracker.cc
@@ -12,13 +12,14 @@
 // Peers advertise their counts every quarter of a second. Two lost datagrams
 // are no reason to read the store; more may hide records.
 constexpr std::chrono::milliseconds kSilenceThreshold{600};
-// A peer that is silent for longer is considered terminated; its callers have
-// left it.
+// A peer that is silent for longer is considered terminated; the load balancer
+// has sent its callers to other gateways.
 constexpr std::chrono::seconds kMaxSilence{15};
 // A gap is filled from the store within some ten milliseconds after kPushDelay.
 // A job's end must stop its items within three seconds of its acknowledgement.
 constexpr std::chrono::milliseconds kMaxGap{500};
-// Eight full messages, which are not all lost.
+// How long RecentlyRecovered() includes a peer: eight full state messages, so
+// that losing some of them does not matter.
 constexpr std::chrono::milliseconds kRecoveredReportPeriod{2000};
 // Pending counts kept per peer while it is ahead; covers some seconds.
 constexpr size_t kMaxPendingCounts = 64;
@@ -30,8 +31,8 @@
 // the previous one exceeds its lifetime, even with a slow store, which takes
 // 0.25 s.
 constexpr std::chrono::milliseconds kSilentPeerReadInterval{450};
-// Read interval while no caller waits. Such reads only bring the ends of jobs,
-// which must stop within three seconds, and jobs of a terminated peer.
+// Read interval while no caller waits. Such reads only find ended jobs, whose
+// items must stop within three seconds, and jobs of a terminated peer.
 constexpr std::chrono::milliseconds kIdleReadInterval{1500};
 // Longer than the polling interval of callers, who read about twice a second.
 constexpr std::chrono::milliseconds kCallerWaitWindow{1200};
@@ -59,7 +60,7 @@
 
 void SyncTracker::MarkReceived(Peer& peer, uint64_t count) {
   peer.received = std::max(peer.received, count);
-  while (peer.behind() && peer.pending.front().count <= peer.received) {
+  while (peer.has_pending() && peer.pending.front().count <= peer.received) {
     peer.pending.pop_front();
   }
 }
@@ -84,10 +85,12 @@
   if (peer.received >= before) MarkReceived(peer, count);
 }
 
-// Guards against a peer that writes several records a second, so that it
-// advertises a new count during each store read. If either all or none of its
-// counts were marked as received, this gateway would stay behind permanently
-// and start no items, although each read brings the records that were missing.
+// Marks only the counts that were advertised before the read began: the read
+// may lack later records. Guards against a peer that writes several records a
+// second and so advertises a new count during each read. If its counts were
+// marked all together, only when none is newer than the read, this gateway
+// would stay behind permanently and start no items, although each read brings
+// the records that were missing.
 void SyncTracker::OnStoreRead(TimePoint began, TimePoint now) {
   read_began_ = std::max(read_began_, began);
   for (auto& [name, peer] : peers_) {
@@ -116,10 +119,10 @@
 
 void SyncTracker::RemovePeer(const std::string& name) { peers_.erase(name); }
 
-bool SyncTracker::IsBehind(const Peer& peer, TimePoint now) {
+bool SyncTracker::IsOverdue(const Peer& peer, TimePoint now) {
   if (peer.needs_read_after_restart && now - peer.first_seen_at >= kPushDelay)
     return true;
-  return peer.behind() &&
+  return peer.has_pending() &&
          now - peer.pending.front().advertised_at >= kPushDelay;
 }
 
@@ -135,14 +138,14 @@
   const auto silent_interval =
       caller_waiting ? kSilentPeerReadInterval : kIdleReadInterval;
   return std::any_of(peers_.begin(), peers_.end(), [&](const auto& e) {
-    return (since_read >= kReadInterval && IsBehind(e.second, now)) ||
+    return (since_read >= kReadInterval && IsOverdue(e.second, now)) ||
            (since_read >= silent_interval && IsSilent(e.second, now));
   });
 }
 
 bool SyncTracker::HasGap(TimePoint now) const {
   return std::any_of(peers_.begin(), peers_.end(), [now](const auto& e) {
-    return e.second.behind() &&
+    return e.second.has_pending() &&
            now - e.second.pending.front().advertised_at >= kMaxGap;
   });
 }
@@ -163,7 +166,7 @@
   // records. A peer that is behind is covered by the next read.
   return std::none_of(peers_.begin(), peers_.end(), [&](const auto& e) {
     const Peer& peer = e.second;
-    return IsBehind(peer, now) ||
+    return IsOverdue(peer, now) ||
            (IsSilent(peer, now) && now - read_began_ > kReadLifetime);
   });
 }
--- a/libs/gateway/src/peers/sync_tracker.h
+++ b/libs/gateway/src/peers/sync_tracker.h
@@ -43,11 +43,13 @@
   //
   // Whether the store must be read now.
   bool NeedsStoreRead(TimePoint now) const;
-  // Whether advertised records have been missing for so long that no work
-  // should start that one of them may rule out.
+  // Whether advertised records have been missing for longer than kMaxGap. Batch
+  // items should not start then: a missing record may be the end of a job or
+  // the result of an item.
   bool HasGap(TimePoint now) const;
   // Peers whose records were recently read from the store instead of being
-  // pushed, with the count that each may consider acknowledged.
+  // pushed, and how many of their records this gateway now has. Reported to the
+  // peers as an acknowledgement.
   std::map<std::string, RecordCount> RecentlyRecovered(TimePoint now) const;
   // Number of the peer's records that were received without a gap.
   uint64_t ReceivedFrom(const std::string& name) const;
@@ -77,7 +79,7 @@
     TimePoint first_seen_at{};  // when this start was first seen
     TimePoint last_report_at{};
 
-    bool behind() const noexcept { return !pending.empty(); }
+    bool has_pending() const noexcept { return !pending.empty(); }
     // The peer was restarted, and the last records of its previous process may
     // be missing here.
     bool needs_read_after_restart = false;
@@ -86,7 +88,9 @@
 
   static void RaiseAdvertised(Peer& peer, uint64_t count, TimePoint now);
   static void MarkReceived(Peer& peer, uint64_t count);
-  static bool IsBehind(const Peer& peer, TimePoint now);
+  // Whether records of the peer have been missing for longer than a push takes,
+  // or may be missing after its restart.
+  static bool IsOverdue(const Peer& peer, TimePoint now);
   static bool IsSilent(const Peer& peer, TimePoint now);
   Peer& EnsurePeer(const std::string& name, uint64_t start, TimePoint now);
 
--- a/libs/gateway/src/store/kind_mirror.cc
+++ b/libs/gateway/src/store/kind_mirror.cc
@@ -22,8 +22,8 @@
 // Timeout for the first page of a list: a slow store takes 0.4 s, and a silent
 // one should be called again soon.
 constexpr std::chrono::milliseconds kListTimeout{1000};
-// A list that took longer is followed by a watch that does not wait, which
-// returns the changes made since the list began.
+// A list that took longer than this is followed by a watch that does not wait,
+// which returns the changes made since the list began.
 constexpr std::chrono::milliseconds kFreshListLimit{100};
 constexpr std::chrono::milliseconds kMinWatchWait{1};
 // A watch delivers a change within milliseconds. One that has waited this long
@@ -153,9 +153,9 @@
 
 void KindMirror::OnStoreRegained() {
   if (pausing_ || (revision_ == 0 && !retrying_)) return;
-  // Guards against a list that never completes. On VMs with busy links,
-  // responses came late, the store was considered lost and regained several
-  // times a second, and each time all records were listed again.
+  // Guards against a list that never completes: on a VM with a busy link,
+  // responses arrive late, and the store is considered lost and regained
+  // several times a second. Each time, all records would be listed again.
   if (settings_.large_kind && listing_) return;
   ++generation_;
   EndPause();
@@ -293,8 +293,9 @@
   if (answer.more) return Watch();
   caught_up_ = true;
   if (handlers_.read_completed) handlers_.read_completed(call_began_);
-  // Without a pause, repeated immediate reads would each start a watch that the
-  // next change ends: two calls instead of one.
+  // An immediate read is followed by a pause even if it returned no changes.
+  // Otherwise a waiting watch would follow, which the next change or immediate
+  // read ends: two calls for each change instead of one.
   const bool pause = !answer.objects.empty() || immediate_read_;
   if (!pause || settings_.pause.count() == 0) return Watch();
   Pause();
--- a/libs/gateway/src/store/kind_mirror.h
+++ b/libs/gateway/src/store/kind_mirror.h
@@ -40,9 +40,9 @@
   bool stale_first_list = false;
   // Pauses after the stale first list; it is recent enough for that time.
   bool pause_after_stale_list = false;
-  // Whether this mirror probes a lost store frequently. The other mirrors are
-  // notified and retry rarely, since otherwise an outage would cost each
-  // gateway several calls a second.
+  // Whether this mirror retries frequently while the store is unavailable. The
+  // other mirrors are notified when it is back and retry rarely, since
+  // otherwise an outage would cost each gateway several calls a second.
   bool probes_lost_store = false;
 };
 
@@ -70,18 +70,25 @@
   void Start() { List(); }
   // Makes no more calls and drops the responses of those in flight.
   void Stop();
-  // Ends a pause and reads the changes now.
+  // Ends a pause, if there is one, and reads the changes now. Does not affect a
+  // call in flight.
   void SkipPause();
-  // A peer has written a record that has not arrived here. A watch that has
-  // waited for long is considered silent and is replaced.
+  // A peer has written a record that has not arrived here. If a watch in flight
+  // has already waited for long, its connection is considered silent, and
+  // ReadAgain() is called. Has no effect otherwise.
   void RenewWatch();
-  // Reads the changes again, from now on.
+  // Drops a watch in flight, or ends a pause or the wait for updates from
+  // peers, and reads the changes now, so that the result includes all changes
+  // made so far. Has no effect during a list or while a retry is scheduled.
   void ReadAgain();
   // Cancels a call in flight and lists again: calls made during the outage may
   // never be answered.
   void OnStoreRegained();
-  // Reads the changes on a new connection: a peer advertises a change that has
-  // not arrived here, so the watch may be silent.
+  // Drops any call in flight, ends any pause or scheduled retry, and reads the
+  // changes now: a peer advertises a change that has not arrived here, so the
+  // watch may be silent. The dropped call keeps its connection, so the read
+  // uses another one. Has no effect before the first list or within a second
+  // of the previous refresh.
   void Refresh();
 
   // Whether peers forward what they read. If so, this mirror does not keep a
@@ -93,12 +100,14 @@
 
   // Whether a list was ever read.
   bool listed() const noexcept { return revision_ != 0; }
-  // Whether the mirrored state is no older than a watch takes. Listing some
-  // hundred records takes seconds on a small VM, so the result is that old when
-  // it arrives.
+  // Whether a recent state was read completely. False after a list that was
+  // slow or may be stale, until a watch has returned all changes since then:
+  // listing some hundred records takes seconds on a small VM, so the result is
+  // that old when it arrives. Not reset when a call fails; see following().
   bool caught_up() const noexcept { return caught_up_; }
-  // Whether the last call succeeded. The mirrored state is then current, except
-  // for the time that an event takes to arrive.
+  // Whether the last completed call succeeded, i.e. the store is being read
+  // without errors. After a slow list, the mirrored state may still be old; see
+  // caught_up().
   bool following() const noexcept { return following_; }
   // Version of the newest change seen for an object of this kind.
   uint64_t newest_change() const noexcept { return newest_change_; }
--- a/libs/serving/include/serving/quota_limiter.h
+++ b/libs/serving/include/serving/quota_limiter.h
@@ -13,7 +13,7 @@
 enum class QuotaVerdict {
   kAccept,
   kOverLimit,   // by the jobs known to this gateway
-  kAwaitPeers,  // retry when peers have acknowledged earlier jobs
+  kAwaitPeers,  // not decided: depends on what peers report; check again
 };
 
 // Decides whether a batch job fits its workspace's limit on waiting tokens,
@@ -23,9 +23,9 @@
 // Guards against gateways that each spend the whole remaining quota: many jobs
 // arrive at all gateways at the same moment with the limit nearly reached,
 // while some gateways are slow, paused or partitioned from the others. Each
-// receives the jobs of its peers some milliseconds late, or much later. With
-// local knowledge only, three gateways that accepted 30 jobs at once exceeded
-// the limit by 22%, where a tenth is allowed.
+// receives the jobs of its peers some milliseconds late, or much later. The
+// limit may be exceeded by a tenth at most; with local knowledge only, three
+// gateways that accepted 30 jobs simultaneously exceeded it by 22%.
 //
 // Therefore each gateway bounds the tokens of its own jobs that some reachable
 // peer has not acknowledged, by its share of kSharedOverage of the limit.
@@ -41,7 +41,7 @@
                      uint64_t tokens, uint64_t limit, size_t gateways) const;
 
   // Whether peers have acknowledged all accepted jobs.
-  bool empty() const noexcept { return unacknowledged_.empty(); }
+  bool all_acknowledged() const noexcept { return unacknowledged_.empty(); }
 
   // Commands. Check() accepted the job.
   void Reserve(const std::string& job, const QuotaScope& scope,
@@ -51,14 +51,16 @@
   void OnRecordWritten(const std::string& job, uint64_t record_number);
   // The job was not accepted in the end.
   void Release(const std::string& job);
-  // Whether the record was written is unknown: the job counts until `known_at`,
-  // by which time all gateways have read the store.
-  void OnWriteUncertain(const std::string& job, TimePoint known_at);
+  // Whether the record was written is unknown: the job counts until
+  // `expires_at`, by which time all gateways have read the store.
+  void OnWriteUncertain(const std::string& job, TimePoint expires_at);
   // Every reachable peer has the records of this gateway up to `record_number`.
   void OnAcknowledged(uint64_t record_number, TimePoint now);
 
  private:
-  // Of the allowed tenth; the rest is for gateways that join or restart.
+  // Part of the limit by which unacknowledged jobs of all gateways together may
+  // exceed it. Below the allowed tenth, since gateways that join or restart may
+  // add some.
   static constexpr double kSharedOverage = 0.08;
 
   struct Reservation {
--- a/libs/serving/src/quota_limiter.cc
+++ b/libs/serving/src/quota_limiter.cc
@@ -37,9 +37,9 @@
 }
 
 void QuotaLimiter::OnWriteUncertain(const std::string& job,
-                                    TimePoint known_at) {
+                                    TimePoint expires_at) {
   const auto found = unacknowledged_.find(job);
-  if (found != unacknowledged_.end()) found->second.expires_at = known_at;
+  if (found != unacknowledged_.end()) found->second.expires_at = expires_at;
 }
 
 void QuotaLimiter::OnAcknowledged(uint64_t record_number, TimePoint now) {
--- a/tests/soak/online_checker.cc
+++ b/tests/soak/online_checker.cc
@@ -44,12 +44,13 @@
 
 OnlineChecker::OnlineChecker(const RunIndex& runs,
                              const FaultWindows& fault_windows,
-                             const OperationsLog& operations, int events,
-                             milliseconds slack, Findings& findings)
+                             const OperationsLog& operations,
+                             int events_per_stream, milliseconds slack,
+                             Findings& findings)
     : runs_(runs),
       fault_windows_(fault_windows),
       operations_(operations),
-      events_(events),
+      events_per_stream_(events_per_stream),
       slack_(slack),
       findings_(findings) {}
 
@@ -67,7 +68,7 @@
     CheckPlannedStop(request);
     if (request.kind == OnlineKind::kExtra) CheckRoute(request);
   }
-  CheckConfigurationOrder(requests);
+  CheckNoConfigurationRollback(requests);
 }
 
 void OnlineChecker::CheckRuns(const OnlineRequest& request) {
@@ -87,7 +88,7 @@
 std::string OnlineChecker::CompleteBody(const OnlineRequest& request) const {
   if (request.unary()) return "plain answer of " + request.id;
   std::string body;
-  for (int event = 1; event <= events_; ++event) {
+  for (int event = 1; event <= events_per_stream_; ++event) {
     body += fmt::format("id: {}\ndata: word {} of {}\n\n", event, event,
                         request.id);
   }
@@ -99,12 +100,15 @@
   const auto& runs = runs_.Of(request.id);
   if (end.status / 100 == 2) {
     const std::string body = CompleteBody(request);
+    // A complete response has the body that belongs to the request.
     findings_.Check("a whole answer is the caller's own",
                     !request.complete() || end.body == body,
                     Describe(request) + " got: " + end.body);
+    // An incomplete response is a prefix of that body.
     findings_.Check("a cut answer holds nothing foreign",
                     body.starts_with(end.body),
                     Describe(request) + " got: " + end.body);
+    // The response carries the signature of a server that ran the request.
     findings_.Check(
         "an answer bears its server's signature",
         std::any_of(runs.begin(), runs.end(),
@@ -129,6 +133,9 @@
                              request.ended_at, slack_)) {
     return;
   }
+  // A request with a valid key gets a 4xx status only if the status promises
+  // that it has not run, its server signed the response, or its route may have
+  // been removed.
   findings_.Check(
       "a proper request is not denied",
       !denied || request.kind == OnlineKind::kExtra || !signature.empty(),
@@ -137,6 +144,7 @@
 
 void OnlineChecker::CheckRejection(const OnlineRequest& request) {
   if (!request.complete() || !PromisesNotRun(request.end.status)) return;
+  // A request whose status promises that it has not run did not run.
   findings_.Check("not run is true", runs_.Of(request.id).empty(),
                   fmt::format("{} ran {} times", Describe(request),
                               runs_.Of(request.id).size()));
@@ -158,10 +166,12 @@
   if (!fault_windows_.FaultFree(request.gateway, request.sent_at, bound))
     return;
   for (const auto* run : runs_.Of(request.id)) {
-    const bool left =
+    // Only streams record when a run ended. Unary requests and error responses
+    // are answered at once.
+    const bool ended_in_time =
         run->ended_at <= bound || run->status != 0 || request.unary();
     findings_.Check("a cancelled request ends at its server",
-                    left && run->began_at <= bound, Describe(request));
+                    ended_in_time && run->began_at <= bound, Describe(request));
   }
 }
 
@@ -185,10 +195,9 @@
   }
 }
 
-// Whether the route's presence equals `present` in every configuration that may
-// be in force between `from` and `until`.
-bool OnlineChecker::RouteInEach(const std::string& route, bool present,
-                                TimePoint from, TimePoint until) const {
+bool OnlineChecker::RoutePresenceIsAlways(const std::string& route,
+                                          bool present, TimePoint from,
+                                          TimePoint until) const {
   return operations_.InEach(from, until, slack_, [&](const auto& version) {
     return version.extra_routes.contains(route) == present;
   });
@@ -201,19 +210,23 @@
     return;
   }
   const bool absent = request.end.status == 404;
-  if (RouteInEach(request.route, true, request.sent_at, request.ended_at)) {
+  if (RoutePresenceIsAlways(request.route, true, request.sent_at,
+                            request.ended_at)) {
     findings_.Check("a new route is in force in time", !absent,
                     Describe(request));
   }
-  if (RouteInEach(request.route, false, request.sent_at, request.ended_at)) {
+  if (RoutePresenceIsAlways(request.route, false, request.sent_at,
+                            request.ended_at)) {
     findings_.Check("a removed route is out of force in time",
                     absent && runs_.Of(request.id).empty(), Describe(request));
   }
 }
 
 // Each extra route is added once and removed once. Responses of one gateway
-// process may therefore change from 404 to 200 and back to 404 only once.
-void OnlineChecker::CheckConfigurationOrder(
+// process may therefore change from 404 to 200 and back to 404 only once. Any
+// other change means that the gateway has reverted to an older configuration,
+// reported as "a configuration is not taken back".
+void OnlineChecker::CheckNoConfigurationRollback(
     const std::vector<OnlineRequest>& requests) {
   struct Seen {
     TimePoint served_at = kNever;   // first
@@ -231,8 +244,8 @@
       return event != kNever &&
              request.sent_at > event + kConfigurationOrderBound;
     };
-    if (absent &&
-        RouteInEach(request.route, true, request.sent_at, request.ended_at)) {
+    if (absent && RoutePresenceIsAlways(request.route, true, request.sent_at,
+                                        request.ended_at)) {
       findings_.Check("a configuration is not taken back",
                       !after(route.served_at), Describe(request));
     }
--- a/tests/soak/online_checker.h
+++ b/tests/soak/online_checker.h
@@ -18,7 +18,7 @@
 class OnlineChecker {
  public:
   OnlineChecker(const RunIndex& runs, const FaultWindows& fault_windows,
-                const OperationsLog& operations, int events,
+                const OperationsLog& operations, int events_per_stream,
                 std::chrono::milliseconds slack, Findings& findings);
 
   void Check(const std::vector<OnlineRequest>& requests);
@@ -31,16 +31,18 @@
   void CheckCancellation(const OnlineRequest& request);
   void CheckPlannedStop(const OnlineRequest& request);
   void CheckRoute(const OnlineRequest& request);
-  void CheckConfigurationOrder(const std::vector<OnlineRequest>& requests);
+  void CheckNoConfigurationRollback(const std::vector<OnlineRequest>& requests);
   void CheckDrain(const OnlineRequest& request);
   std::string CompleteBody(const OnlineRequest& request) const;
-  bool RouteInEach(const std::string& route, bool present, TimePoint from,
-                   TimePoint until) const;
+  // Whether the route's presence equals `present` in every configuration that
+  // may be in force between `from` and `until`.
+  bool RoutePresenceIsAlways(const std::string& route, bool present,
+                             TimePoint from, TimePoint until) const;
 
   const RunIndex& runs_;
   const FaultWindows& fault_windows_;
   const OperationsLog& operations_;
-  int events_;
+  int events_per_stream_;
   std::chrono::milliseconds slack_;
   Findings& findings_;
 };
