--- a/libs/base/include/base/hash.h
+++ b/libs/base/include/base/hash.h
@@ -15,7 +15,7 @@
 uint64_t HashCombine(uint64_t a, uint64_t b) noexcept;
 
 // Formats `value` as 16 lower-case hexadecimal digits.
-std::string HexOf(uint64_t value);
+std::string ToHex(uint64_t value);
 
 }  // namespace knapweedstile
 
--- a/libs/base/src/hash.cc
+++ b/libs/base/src/hash.cc
@@ -14,6 +14,6 @@
   return XXH3_64bits(pair, sizeof(pair));
 }
 
-std::string HexOf(uint64_t value) { return fmt::format("{:016x}", value); }
+std::string ToHex(uint64_t value) { return fmt::format("{:016x}", value); }
 
 }  // namespace knapweedstile
--- a/libs/gateway/src/batch/batch_api.cc
+++ b/libs/gateway/src/batch/batch_api.cc
@@ -98,7 +98,7 @@
   const auto items = boost::leaf::try_handle_all(
       [&]() -> boost::leaf::result<std::vector<serving::BatchItem>> {
         return users_platform::ParseSubmission(
-            request.body, users_platform::kMostItemsOfCaller);
+            request.body, users_platform::kMaxItemsPerSubmission);
       },
       [&](const Error& error) {
         LogWarning("job_invalid", {{"job", job}, {"reason", error.message}});
@@ -139,7 +139,7 @@
   const std::string job = KeyOf(call.job, identity);
   const serving::BatchJob* known = jobs_.Find(job);
   if (known && !CanUse(*known, identity)) return Respond(request.exchange, 404);
-  if (call.operation == BatchOperation::kEnd) {
+  if (call.operation == BatchOperation::kEndJob) {
     return End(request.exchange, job, request.received_at + kEndTimeout);
   }
   Serve(request.exchange, job, call);
--- a/libs/gateway/src/batch/job_records.cc
+++ b/libs/gateway/src/batch/job_records.cc
@@ -68,7 +68,7 @@
 
 std::string JobKey(std::string_view workspace, std::string_view id) {
   if (workspace.empty()) return std::string(id);
-  return fmt::format("{}-{}", HexOf(Hash64(workspace)), id);
+  return fmt::format("{}-{}", ToHex(Hash64(workspace)), id);
 }
 
 std::string JobName(std::string_view job) {
--- a/libs/gateway/src/callers/caller_identity.cc
+++ b/libs/gateway/src/callers/caller_identity.cc
@@ -79,7 +79,7 @@
 CallerIdentity ReadCaller(const http::HeaderList& headers,
                           const WorkspaceDirectory& workspaces,
                           const std::string& generated_id) {
-  const auto platform = users_platform::DecodeCaller(headers);
+  const auto platform = users_platform::DecodeCallerHeaders(headers);
   CallerIdentity caller{.host = platform.host,
                         .request_id = platform.request_id,
                         .budget = platform.budget};
--- a/libs/gateway/src/online/online_answers.cc
+++ b/libs/gateway/src/online/online_answers.cc
@@ -21,7 +21,7 @@
 constexpr uint32_t kMaxUnexecutedAttempts = 4;
 
 http::HeaderList ResponseHeaders(const OnlineCall& call) {
-  http::HeaderList headers = users_platform::ReturnedHeaders(call.head);
+  http::HeaderList headers = users_platform::EndToEndHeaders(call.head);
   if (call.own_interface) headers.Add("X-Request-Id", call.request_id);
   return headers;
 }
--- a/libs/gateway/src/peers/peer_client_settings.h
+++ b/libs/gateway/src/peers/peer_client_settings.h
@@ -14,7 +14,7 @@
   constexpr std::chrono::milliseconds kSilenceTimeout{2000};
   http::ClientSettings settings;
   settings.connect_timeout = kConnectTimeout;
-  settings.silence_timeout = kSilenceTimeout;
+  settings.unacknowledged_timeout = kSilenceTimeout;
   settings.max_idle_per_address = 1;
   return settings;
 }
--- a/libs/gateway/src/servers/upstream_settings.h
+++ b/libs/gateway/src/servers/upstream_settings.h
@@ -16,7 +16,7 @@
   // requests are lost. For servers that announce a timeout, half of that is
   // used.
   settings.idle_timeout = std::chrono::milliseconds(8000);
-  settings.silence_timeout = std::chrono::milliseconds(3000);
+  settings.unacknowledged_timeout = std::chrono::milliseconds(3000);
   settings.max_idle_per_address = 8;
   return settings;
 }
--- a/libs/gateway/src/store/kind_mirror.cc
+++ b/libs/gateway/src/store/kind_mirror.cc
@@ -185,7 +185,7 @@
   const bool stale =
       settings_.stale_first_list && revision_ == 0 && failures_ == 0;
   store_.Call(
-      platform::ListRequest{.kind = settings_.kind, .may_be_stale = stale},
+      platform::ListRequest{.kind = settings_.kind, .allow_stale = stale},
       call_began_ + timeout, IfCurrent(&KindMirror::OnListed));
 }
 
@@ -241,11 +241,12 @@
   watching_ = true;
   const Duration grace =
       settings_.large_kind ? kLargeResponseTimeout : kWatchGrace;
-  store_.Call(platform::WatchRequest{.kind = settings_.kind,
-                                     .after = revision_,
-                                     .wait_until = call_began_ + wait,
-                                     .give_up_at = call_began_ + wait + grace},
-              kNever, IfCurrent(&KindMirror::OnWatched));
+  store_.Call(
+      platform::WatchRequest{.kind = settings_.kind,
+                             .after = revision_,
+                             .wait_until = call_began_ + wait,
+                             .response_deadline = call_began_ + wait + grace},
+      kNever, IfCurrent(&KindMirror::OnWatched));
 }
 
 void KindMirror::OnWatched(StoreAnswer&& answer) {
--- a/libs/http/include/http/client_settings.h
+++ b/libs/http/include/http/client_settings.h
@@ -12,7 +12,7 @@
   // A connection whose peer acknowledges nothing for about this long is closed;
   // zero leaves it to the kernel, which takes minutes. Guards against peers
   // that become unreachable without a reset: nothing else detects them.
-  std::chrono::milliseconds silence_timeout{0};
+  std::chrono::milliseconds unacknowledged_timeout{0};
   uint32_t max_idle_per_address = 64;
   uint64_t max_response_bytes = 64 << 20;
 };
--- a/libs/http/src/client_impl.cc
+++ b/libs/http/src/client_impl.cc
@@ -182,7 +182,7 @@
   connection.socket.non_blocking(true, ec);
   connection.socket.set_option(asio::ip::tcp::no_delay(true), ec);
   connection.socket.set_option(asio::socket_base::keep_alive(true), ec);
-  SetSilenceTimeout(connection.socket, settings_.silence_timeout);
+  SetSilenceTimeout(connection.socket, settings_.unacknowledged_timeout);
   BeginExchange(connection);
 }
 
--- a/libs/platform/include/platform/store_request.h
+++ b/libs/platform/include/platform/store_request.h
@@ -41,7 +41,7 @@
   std::string kind;
   // Allows a state that is seconds old, at a tenth of the quota cost; a watch
   // from the answer's revision returns the changes since then.
-  bool may_be_stale = false;
+  bool allow_stale = false;
 };
 
 // Returns the objects of `kind` that changed after revision `after` as soon as
@@ -51,7 +51,7 @@
   uint64_t after = 0;
   TimePoint wait_until;
   // When the client stops waiting for the response; later than `wait_until`.
-  TimePoint give_up_at;
+  TimePoint response_deadline;
 };
 
 using StoreCall = std::variant<ReadRequest, WriteRequest, DeleteRequest,
--- a/tests/harness/fault.h
+++ b/tests/harness/fault.h
@@ -12,7 +12,7 @@
 
 enum class FaultMode {
   kPass,
-  kCut,             // resets the connection at both ends
+  kReset,           // resets the connection at both ends
   kFreeze,          // forwards no bytes; both ends stay open
   kFreezeToServer,  // freezes one direction only
   kFreezeToClient,
@@ -28,7 +28,7 @@
   uint64_t after_bytes = 0;
   // Later faults do not change the connection, as when a device between the two
   // ends has lost track of it. New connections are not affected.
-  bool for_good = false;
+  bool permanent = false;
 };
 
 }  // namespace knapweedstile::harness
--- a/tests/harness/proxy.cc
+++ b/tests/harness/proxy.cc
@@ -64,18 +64,18 @@
 
 uint16_t Proxy::port() const { return acceptor_.local_endpoint().port(); }
 
-void Proxy::Strike(const Fault& fault) {
-  fault_ = fault.for_good ? Fault{} : fault;
+void Proxy::Inject(const Fault& fault) {
+  fault_ = fault.permanent ? Fault{} : fault;
   const std::set<ConnectionPtr> connections = connections_;
   for (const ConnectionPtr& connection : connections) Apply(*connection, fault);
 }
 
 void Proxy::Apply(Connection& connection, const Fault& fault) {
-  if (connection.fault.for_good) return;
+  if (connection.fault.permanent) return;
   connection.fault = fault;
   connection.affected = false;
   ++counters_[static_cast<size_t>(fault.mode)].applied;
-  if (fault.mode == FaultMode::kCut && fault.after_bytes == 0) {
+  if (fault.mode == FaultMode::kReset && fault.after_bytes == 0) {
     CountAffected(connection, 0);
     ResetBothEnds(connection);
   }
@@ -181,7 +181,7 @@
   co_await asio::async_write(to, asio::buffer(buffer, count),
                              RedirectError(ec));
   if (counted && connection->fault.after_bytes == 0 &&
-      connection->fault.mode == FaultMode::kCut) {
+      connection->fault.mode == FaultMode::kReset) {
     CountAffected(*connection, 0);
     ResetBothEnds(*connection);
   }
--- a/tests/harness/proxy.h
+++ b/tests/harness/proxy.h
@@ -22,8 +22,8 @@
 
   uint16_t port() const;
   // Applies `fault` to the open connections, and to later ones unless
-  // `fault.for_good` is set.
-  void Strike(const Fault& fault);
+  // `fault.permanent` is set.
+  void Inject(const Fault& fault);
   // Per mode: how many connections the fault was applied to, and how many
   // connections and bytes it in fact dropped, delayed or held back.
   boost::json::object Counts() const;
--- a/tests/soak/batch_checker.cc
+++ b/tests/soak/batch_checker.cc
@@ -104,16 +104,16 @@
         item.id + " ran as " + run->target);
     if (run->status != 0) ++failures;
     if (job.ended_at != kNever &&
-        fault_windows_.FaultFreeEverywhere(job.ended_at, run->began_at)) {
+        fault_windows_.FaultFreeEverywhere(job.ended_at, run->started_at)) {
       findings_.Check("an ended job stops",
-                      run->began_at <= job.ended_at + kJobEndBound + slack_,
+                      run->started_at <= job.ended_at + kJobEndBound + slack_,
                       item.id);
     }
     const auto left = operations_.leaving.find(run->instance);
     if (left != operations_.leaving.end() &&
-        fault_windows_.FaultFreeEverywhere(left->second, run->began_at)) {
+        fault_windows_.FaultFreeEverywhere(left->second, run->started_at)) {
       findings_.Check("a leaving server gets no new item",
-                      run->began_at <= left->second + kDrainBound + slack_,
+                      run->started_at <= left->second + kDrainBound + slack_,
                       item.id + " at " + run->instance);
     }
   }
--- a/tests/soak/batch_traffic.cc
+++ b/tests/soak/batch_traffic.cc
@@ -116,8 +116,8 @@
                                  {"tokens", kTokensPerItem}});
   }
   const std::string gateway = site_.PickGateway(rng_);
-  auto request =
-      site_.site().Online(gateway, "POST", "/summaries/new", job.id, 4000);
+  auto request = site_.site().OnlineRequest(gateway, "POST", "/summaries/new",
+                                            job.id, 4000);
   request.body = json::serialize(json::object{{"items", std::move(items)}});
   Begin({.kind = CallKind::kSubmit, .job = job.id, .gateway = gateway},
         std::move(request), now);
@@ -126,7 +126,7 @@
 void BatchTraffic::Read(const BatchRecord& job, const std::string& gateway,
                         size_t position, TimePoint now) {
   http::ClientRequest request;
-  request.address = site_.site().callers(gateway);
+  request.address = site_.site().caller_address(gateway);
   request.target = fmt::format("/-/lots/{}?after={}", job.id, position);
   request.headers.Add("Host", users_site::kHost);
   if (UniformBelow(rng_, 2) == 0) request.headers.Add("Poll-Wait", "500");
@@ -147,7 +147,7 @@
   const ItemRecord& item = job.items[UniformBelow(rng_, job.items.size())];
   const std::string gateway = site_.PickGateway(rng_);
   http::ClientRequest request;
-  request.address = site_.site().callers(gateway);
+  request.address = site_.site().caller_address(gateway);
   request.target = fmt::format("/-/items/{}?id={}", job.id, item.id);
   request.headers.Add("Host", users_site::kHost);
   Begin({.kind = CallKind::kBody,
@@ -161,7 +161,7 @@
   if (!job.end_requested()) job.end_requested_at = now;
   const std::string gateway = site_.PickGateway(rng_);
   http::ClientRequest request;
-  request.address = site_.site().callers(gateway);
+  request.address = site_.site().caller_address(gateway);
   request.method = "DELETE";
   request.target = "/-/lots/" + job.id;
   request.headers.Add("Host", users_site::kHost);
--- a/tests/soak/fault_driver.cc
+++ b/tests/soak/fault_driver.cc
@@ -34,12 +34,12 @@
     case FaultKind::kCutStoreLink:
     case FaultKind::kCutServerLink:
     case FaultKind::kCutCallerLink:
-      return {.mode = FaultMode::kCut};
+      return {.mode = FaultMode::kReset};
     case FaultKind::kFreezeStoreAnswers:
       return {.mode = FaultMode::kFreezeToClient};
     case FaultKind::kSilenceOpenStoreLinks:
     case FaultKind::kSilenceOpenServerLinks:
-      return {.mode = FaultMode::kFreeze, .for_good = true};
+      return {.mode = FaultMode::kFreeze, .permanent = true};
     case FaultKind::kDelayStoreLink:
     case FaultKind::kDelayServerLink:
       return {.mode = FaultMode::kDelay, .delay = kLinkDelay};
@@ -143,8 +143,8 @@
                                  const PlannedFault& fault, TimePoint now) {
   harness::Proxy* proxy = site_.ProxyOf(link);
   if (!proxy) return;
-  proxy->Strike(link_fault);
-  if (link_fault.for_good) {
+  proxy->Inject(link_fault);
+  if (link_fault.permanent) {
     site_.fault_windows().Add(scope, now, now + kSilenceDetectionTime);
     return;
   }
@@ -152,7 +152,7 @@
   link_fault_until_[link] = std::max(link_fault_until_[link], until);
   site_.fault_windows().Add(scope, now, until);
   site_.RunAt(until, [this, proxy, link] {
-    if (MonotonicNow() >= link_fault_until_[link]) proxy->Strike({});
+    if (MonotonicNow() >= link_fault_until_[link]) proxy->Inject({});
   });
 }
 
@@ -189,19 +189,19 @@
     case FaultKind::kStoreLosesAnswers:
       return store.LoseAnswers(AffectedWrites(fault));
     case FaultKind::kStoreWritesLate:
-      return store.RunLate(AffectedWrites(fault), fault.duration);
+      return store.DelayWrites(AffectedWrites(fault), fault.duration);
     case FaultKind::kStoreForgetsHistory:
-      return store.ForgetHistory();
+      return store.DropHistory();
     default:
       break;
   }
   store.SetHealth(fault.kind == FaultKind::kStoreBusy
-                      ? ObjectStore::Health::kBusy
-                      : ObjectStore::Health::kSilent);
+                      ? ObjectStore::Health::kUnavailable
+                      : ObjectStore::Health::kUnresponsive);
   store_fault_until_ = std::max(store_fault_until_, until);
   site_.RunAt(until, [this, &store] {
     if (MonotonicNow() < store_fault_until_) return;
-    store.SetHealth(ObjectStore::Health::kGood);
+    store.SetHealth(ObjectStore::Health::kHealthy);
   });
 }
 
@@ -216,7 +216,7 @@
   site_.fault_windows().Add("", now, now + kServerFaultWindow);
   switch (fault.kind) {
     case FaultKind::kServerRefuses:
-      server.refuse_next += count;
+      server.reject_next += count;
       return;
     case FaultKind::kServerFails:
       server.fail_next += count;
@@ -225,7 +225,7 @@
       server.break_after = count;
       return;
     case FaultKind::kServerAnswersForeign:
-      server.foreign_next += count;
+      server.wrong_id_next += count;
       return;
     case FaultKind::kServerAnswersUnsigned:
       server.unsigned_next += count;
@@ -237,15 +237,15 @@
 
 void FaultDriver::ClearFaults(TimePoint now) {
   for (const auto& [link, until] : link_fault_until_) {
-    if (until > now) site_.ProxyOf(link)->Strike({});
+    if (until > now) site_.ProxyOf(link)->Inject({});
   }
   for (const auto& [gateway, until] : paused_until_) {
     if (until > now) site_.site().process(gateway).Resume();
   }
-  site_.site().store().SetHealth(ObjectStore::Health::kGood);
+  site_.site().store().SetHealth(ObjectStore::Health::kHealthy);
   for (ModelServer* server : site_.servers()) {
-    server->refuse_next = server->fail_next = server->break_after = 0;
-    server->foreign_next = server->unsigned_next = 0;
+    server->reject_next = server->fail_next = server->break_after = 0;
+    server->wrong_id_next = server->unsigned_next = 0;
   }
 }
 
--- a/tests/soak/online_checker.cc
+++ b/tests/soak/online_checker.cc
@@ -161,7 +161,7 @@
     const bool left =
         run->ended_at <= bound || run->status != 0 || request.unary();
     findings_.Check("a cancelled request ends at its server",
-                    left && run->began_at <= bound, Describe(request));
+                    left && run->started_at <= bound, Describe(request));
   }
 }
 
@@ -251,11 +251,11 @@
     const auto left = operations_.leaving.find(run->instance);
     if (left == operations_.leaving.end()) continue;
     if (!fault_windows_.FaultFree(request.gateway, left->second,
-                                  run->began_at)) {
+                                  run->started_at)) {
       continue;
     }
     findings_.Check("a leaving server gets no new request",
-                    run->began_at <= left->second + kDrainBound + slack_,
+                    run->started_at <= left->second + kDrainBound + slack_,
                     Describe(request) + " at " + run->instance);
   }
 }
--- a/tests/soak/online_traffic.cc
+++ b/tests/soak/online_traffic.cc
@@ -97,9 +97,9 @@
   request.target = TargetOf(request);
   const bool short_budget = !patient && UniformBelow(rng_, 4) == 0;
   request.budget = short_budget ? kShortBudget : kLongBudget;
-  auto sent =
-      site_.site().Online(gateway, request.unary() ? "GET" : "POST",
-                          request.target, request.id, request.budget.count());
+  auto sent = site_.site().OnlineRequest(
+      gateway, request.unary() ? "GET" : "POST", request.target, request.id,
+      request.budget.count());
   request.body = sent.body;
   request.key = key;
   sent.headers.Add("Authorization", "Bearer " + key);
--- a/tests/soak/soak_site.cc
+++ b/tests/soak/soak_site.cc
@@ -101,8 +101,8 @@
 void SoakSite::AddModelServer() {
   ModelServer& server = site_.AddServer("llm", NewInstance(), kSlots);
   server.events = kEvents;
-  server.event_pause = kEventInterval;
-  server.first_pause = kFirstEventDelay;
+  server.event_interval = kEventInterval;
+  server.first_byte_delay = kFirstEventDelay;
   server.name_requests = true;
   server.slots = kSlots;
   server.unprocessable_body = BodyOf(ItemKind::kUnprocessable);
@@ -252,7 +252,7 @@
   }
   if (now < state.probe_at) return;
   state.probe_at = now + kProbeInterval;
-  state.probe = caller.Begin({.address = site_.readiness(gateway),
+  state.probe = caller.Begin({.address = site_.admin_address(gateway),
                               .target = "/-/readiness",
                               .deadline = now + kProbeTimeout});
 }
--- a/tests/soak/workspace_checker.cc
+++ b/tests/soak/workspace_checker.cc
@@ -73,7 +73,7 @@
   for (const OnlineRequest& request : requests) {
     if (request.key != kHotKey) continue;
     const auto& of = runs_.Of(request.id);
-    if (!of.empty()) runs.emplace_back(of.front()->began_at, request.sent_at);
+    if (!of.empty()) runs.emplace_back(of.front()->started_at, request.sent_at);
   }
   std::sort(runs.begin(), runs.end());
   const double limit =
--- a/tests/users_platform/divided_fleet_test.cc
+++ b/tests/users_platform/divided_fleet_test.cc
@@ -57,8 +57,9 @@
   constexpr int kJobs = 6;
   for (int job = 0; job < kJobs; ++job) {
     const std::string& gateway = fleet.gateways[job % 4];
-    REQUIRE(fleet.site.Call(fleet.site.Job(gateway, JobId(job), 2)).status ==
-            202);
+    REQUIRE(
+        fleet.site.Call(fleet.site.JobRequest(gateway, JobId(job), 2)).status ==
+        202);
   }
   for (int job = 0; job < kJobs; ++job) {
     std::optional<json::object> page;
@@ -76,7 +77,8 @@
 TEST_CASE("a job that is retried at another cell is accepted once") {
   TwoCells fleet;
   for (const std::string& gateway : fleet.gateways) {
-    CHECK(fleet.site.Call(fleet.site.Job(gateway, "job-a", 3)).status == 202);
+    CHECK(fleet.site.Call(fleet.site.JobRequest(gateway, "job-a", 3)).status ==
+          202);
   }
   fleet.site.WaitForResults("b-2", "job-a", 3);
   CHECK(fleet.first.runs().size() + fleet.second.runs().size() == 3);
@@ -85,8 +87,10 @@
 
 TEST_CASE("a job can be ended through a gateway of another cell") {
   TwoCells fleet;
-  fleet.first.first_pause = fleet.second.first_pause = std::chrono::hours(1);
-  REQUIRE(fleet.site.Call(fleet.site.Job("a-1", "job-a", 1)).status == 202);
+  fleet.first.first_byte_delay = fleet.second.first_byte_delay =
+      std::chrono::hours(1);
+  REQUIRE(fleet.site.Call(fleet.site.JobRequest("a-1", "job-a", 1)).status ==
+          202);
   for (const std::string& gateway : fleet.gateways) {
     CHECK(fleet.site.EndJob(gateway, "job-a").status == 200);
   }
@@ -102,7 +106,8 @@
     fleet.site.process(killed).Kill();
   }
   for (int job = 0; job < 4; ++job) {
-    CHECK(fleet.site.Call(fleet.site.Job("a-2", JobId(job), 2)).status == 202);
+    CHECK(fleet.site.Call(fleet.site.JobRequest("a-2", JobId(job), 2)).status ==
+          202);
     fleet.site.WaitForResults("b-2", JobId(job), 2);
   }
 }
@@ -112,8 +117,9 @@
 TEST_CASE("a fleet with cells recovers its jobs after all gateways restart") {
   TwoCells fleet;
   for (int job = 0; job < 4; ++job) {
-    REQUIRE(fleet.site.Call(fleet.site.Job("a-1", JobId(job), 2)).status ==
-            202);
+    REQUIRE(
+        fleet.site.Call(fleet.site.JobRequest("a-1", JobId(job), 2)).status ==
+        202);
   }
   const auto before = fleet.site.WaitForResults("b-1", JobId(0), 2);
   for (const std::string& gateway : fleet.gateways) {
@@ -136,14 +142,15 @@
 // cell knows the jobs of the others.
 TEST_CASE("cells enforce their shares of the limit on waiting tokens") {
   TwoCells fleet;
-  fleet.first.first_pause = fleet.second.first_pause = std::chrono::hours(1);
+  fleet.first.first_byte_delay = fleet.second.first_byte_delay =
+      std::chrono::hours(1);
   fleet.site.Configure(3, {{"max_count", 4000}});
   fleet.site.caller().RunFor(milliseconds(500));
   int accepted = 0;
   for (int job = 0; job < 60; ++job) {
     const std::string& gateway = fleet.gateways[job % 4];
     const auto response =
-        fleet.site.Call(fleet.site.Job(gateway, JobId(job), 1));
+        fleet.site.Call(fleet.site.JobRequest(gateway, JobId(job), 1));
     accepted += response.status == 202 ? 1 : 0;
   }
   // The limit allows 40 jobs; the tolerated overage is a tenth.
--- a/tests/users_platform/gateway_batch_test.cc
+++ b/tests/users_platform/gateway_batch_test.cc
@@ -37,7 +37,8 @@
 
 TEST_CASE("a job runs, and every gateway returns the same results") {
   TwoGateways fleet;
-  CHECK(fleet.site.Call(fleet.site.Job("entry-1", "job-a", 6)).status == 202);
+  CHECK(fleet.site.Call(fleet.site.JobRequest("entry-1", "job-a", 6)).status ==
+        202);
   const auto page = fleet.site.WaitForResults("entry-1", "job-a", 6);
   REQUIRE(ItemsOf(page).size() == 6);
   CHECK(page.at("total") == 6);
@@ -50,12 +51,14 @@
 
 TEST_CASE("the body of an item is readable until its job is ended") {
   TwoGateways fleet;
-  fleet.first.first_pause = std::chrono::seconds(60);
-  fleet.second.first_pause = std::chrono::seconds(60);
-  REQUIRE(fleet.site.Call(fleet.site.Job("entry-1", "job-a", 2)).status == 202);
+  fleet.first.first_byte_delay = std::chrono::seconds(60);
+  fleet.second.first_byte_delay = std::chrono::seconds(60);
+  REQUIRE(
+      fleet.site.Call(fleet.site.JobRequest("entry-1", "job-a", 2)).status ==
+      202);
   const auto body = [&] {
     http::ClientRequest request;
-    request.address = fleet.site.callers("entry-2");
+    request.address = fleet.site.caller_address("entry-2");
     request.target = "/-/items/job-a?id=job-a-1";
     request.headers.Add("Host", kHost);
     return fleet.site.Call(std::move(request));
@@ -70,10 +73,13 @@
 // retries at another gateway.
 TEST_CASE("a retried job is accepted once") {
   TwoGateways fleet;
-  CHECK(fleet.site.Call(fleet.site.Job("entry-1", "job-a", 3)).status == 202);
-  CHECK(fleet.site.Call(fleet.site.Job("entry-2", "job-a", 3)).status == 202);
+  CHECK(fleet.site.Call(fleet.site.JobRequest("entry-1", "job-a", 3)).status ==
+        202);
+  CHECK(fleet.site.Call(fleet.site.JobRequest("entry-2", "job-a", 3)).status ==
+        202);
   fleet.site.WaitForResults("entry-2", "job-a", 3);
-  CHECK(fleet.site.Call(fleet.site.Job("entry-1", "job-a", 3)).status == 202);
+  CHECK(fleet.site.Call(fleet.site.JobRequest("entry-1", "job-a", 3)).status ==
+        202);
   fleet.site.caller().RunFor(std::chrono::milliseconds(300));
   CHECK(fleet.Runs() == 3);
 }
@@ -84,7 +90,8 @@
 TEST_CASE("lost responses of the store cause no lost or duplicate records") {
   TwoGateways fleet;
   fleet.site.store().LoseAnswers(1);
-  CHECK(fleet.site.Call(fleet.site.Job("entry-1", "job-a", 2)).status == 202);
+  CHECK(fleet.site.Call(fleet.site.JobRequest("entry-1", "job-a", 2)).status ==
+        202);
   fleet.site.store().LoseAnswers(2);
   const auto page = fleet.site.WaitForResults("entry-2", "job-a", 2);
   CHECK(ItemsOf(page).size() == 2);
@@ -93,13 +100,15 @@
 
 TEST_CASE("jobs are rejected while the store is unavailable, and only then") {
   TwoGateways fleet;
-  fleet.site.store().SetHealth(ObjectStore::Health::kBusy);
+  fleet.site.store().SetHealth(ObjectStore::Health::kUnavailable);
   CHECK(fleet.site.caller().RunUntil([&] {
-    return fleet.site.Call(fleet.site.Job("entry-1", "job-a", 2)).status == 503;
+    return fleet.site.Call(fleet.site.JobRequest("entry-1", "job-a", 2))
+               .status == 503;
   }));
-  fleet.site.store().SetHealth(ObjectStore::Health::kGood);
+  fleet.site.store().SetHealth(ObjectStore::Health::kHealthy);
   CHECK(fleet.site.caller().RunUntil([&] {
-    return fleet.site.Call(fleet.site.Job("entry-1", "job-a", 2)).status == 202;
+    return fleet.site.Call(fleet.site.JobRequest("entry-1", "job-a", 2))
+               .status == 202;
   }));
 }
 
@@ -108,8 +117,9 @@
 TEST_CASE(
     "a job whose record may have been written is not reported as rejected") {
   TwoGateways fleet;
-  fleet.site.store().SetHealth(ObjectStore::Health::kSilent);
-  const auto end = fleet.site.Call(fleet.site.Job("entry-1", "job-a", 2));
+  fleet.site.store().SetHealth(ObjectStore::Health::kUnresponsive);
+  const auto end =
+      fleet.site.Call(fleet.site.JobRequest("entry-1", "job-a", 2));
   CHECK(end.status == 504);
 }
 
@@ -117,16 +127,16 @@
   TwoGateways fleet;
   fleet.site.Configure(5, {{"max_count", 1000}});
   fleet.site.caller().RunFor(std::chrono::milliseconds(200));
-  fleet.first.first_pause = std::chrono::seconds(60);
-  fleet.second.first_pause = std::chrono::seconds(60);
-  CHECK(fleet.site.Call(fleet.site.Job("entry-1", "job-a", 4, 200)).status ==
-        202);
+  fleet.first.first_byte_delay = std::chrono::seconds(60);
+  fleet.second.first_byte_delay = std::chrono::seconds(60);
+  CHECK(fleet.site.Call(fleet.site.JobRequest("entry-1", "job-a", 4, 200))
+            .status == 202);
   CHECK(fleet.site.caller().RunUntil(
       [&] { return fleet.site.Results("entry-2", "job-a").status == 200; }));
-  CHECK(fleet.site.Call(fleet.site.Job("entry-2", "job-b", 4, 200)).status ==
-        429);
-  CHECK(fleet.site.Call(fleet.site.Job("entry-1", "job-c", 4, 200)).status ==
-        429);
+  CHECK(fleet.site.Call(fleet.site.JobRequest("entry-2", "job-b", 4, 200))
+            .status == 429);
+  CHECK(fleet.site.Call(fleet.site.JobRequest("entry-1", "job-c", 4, 200))
+            .status == 429);
 }
 
 // Guards against items that keep running, or start, after their caller has
@@ -135,7 +145,9 @@
   TwoGateways fleet;
   fleet.first.events = 100000;
   fleet.second.events = 100000;
-  REQUIRE(fleet.site.Call(fleet.site.Job("entry-1", "job-a", 3)).status == 202);
+  REQUIRE(
+      fleet.site.Call(fleet.site.JobRequest("entry-1", "job-a", 3)).status ==
+      202);
   REQUIRE(fleet.site.caller().RunUntil([&] { return fleet.Runs() == 3; }));
   CHECK(fleet.site.caller().RunUntil(
       [&] { return fleet.site.EndJob("entry-2", "job-a").status == 200; }));
@@ -154,9 +166,11 @@
 // in flight and another gateway takes over its job.
 TEST_CASE("the job of a killed gateway is finished by another one") {
   TwoGateways fleet;
-  fleet.first.event_pause = std::chrono::milliseconds(100);
-  fleet.second.event_pause = std::chrono::milliseconds(100);
-  REQUIRE(fleet.site.Call(fleet.site.Job("entry-1", "job-a", 4)).status == 202);
+  fleet.first.event_interval = std::chrono::milliseconds(100);
+  fleet.second.event_interval = std::chrono::milliseconds(100);
+  REQUIRE(
+      fleet.site.Call(fleet.site.JobRequest("entry-1", "job-a", 4)).status ==
+      202);
   REQUIRE(fleet.site.caller().RunUntil([&] { return fleet.Runs() >= 2; }));
   fleet.site.process("entry-1").Kill();
   const auto page = fleet.site.WaitForResults("entry-2", "job-a", 4);
@@ -167,15 +181,19 @@
 // all gateways are killed at once.
 TEST_CASE("jobs and results survive a crash of all gateways") {
   TwoGateways fleet;
-  REQUIRE(fleet.site.Call(fleet.site.Job("entry-1", "job-a", 2)).status == 202);
+  REQUIRE(
+      fleet.site.Call(fleet.site.JobRequest("entry-1", "job-a", 2)).status ==
+      202);
   const auto page = fleet.site.WaitForResults("entry-1", "job-a", 2);
-  fleet.first.first_pause = std::chrono::seconds(60);
-  fleet.second.first_pause = std::chrono::seconds(60);
-  REQUIRE(fleet.site.Call(fleet.site.Job("entry-2", "job-b", 2)).status == 202);
+  fleet.first.first_byte_delay = std::chrono::seconds(60);
+  fleet.second.first_byte_delay = std::chrono::seconds(60);
+  REQUIRE(
+      fleet.site.Call(fleet.site.JobRequest("entry-2", "job-b", 2)).status ==
+      202);
   fleet.site.process("entry-1").Kill();
   fleet.site.process("entry-2").Kill();
-  fleet.first.first_pause = std::chrono::milliseconds(0);
-  fleet.second.first_pause = std::chrono::milliseconds(0);
+  fleet.first.first_byte_delay = std::chrono::milliseconds(0);
+  fleet.second.first_byte_delay = std::chrono::milliseconds(0);
   fleet.site.AddGateway("entry-1");
   CHECK(fleet.site.WaitForResults("entry-1", "job-a", 2) == page);
   CHECK(ItemsOf(fleet.site.WaitForResults("entry-1", "job-b", 2)).size() == 2);
@@ -185,7 +203,9 @@
   TwoGateways fleet;
   fleet.first.unprocessable_next = 1;
   fleet.second.unprocessable_next = 1;
-  REQUIRE(fleet.site.Call(fleet.site.Job("entry-1", "job-a", 1)).status == 202);
+  REQUIRE(
+      fleet.site.Call(fleet.site.JobRequest("entry-1", "job-a", 1)).status ==
+      202);
   const auto page = fleet.site.WaitForResults("entry-1", "job-a", 1);
   CHECK(page.at("results").as_array().front().at("state") == "dead");
   CHECK(fleet.Runs() == 1);
@@ -197,7 +217,9 @@
   TwoGateways fleet;
   fleet.first.fail_next = 10;
   fleet.second.fail_next = 10;
-  REQUIRE(fleet.site.Call(fleet.site.Job("entry-1", "job-a", 1)).status == 202);
+  REQUIRE(
+      fleet.site.Call(fleet.site.JobRequest("entry-1", "job-a", 1)).status ==
+      202);
   const auto page = fleet.site.WaitForResults("entry-1", "job-a", 1);
   CHECK(page.at("results").as_array().front().at("state") == "dead");
   CHECK(fleet.Runs() == 2);
@@ -207,7 +229,9 @@
   TwoGateways fleet;
   fleet.first.break_after = 3;
   fleet.second.break_after = 3;
-  REQUIRE(fleet.site.Call(fleet.site.Job("entry-1", "job-a", 1)).status == 202);
+  REQUIRE(
+      fleet.site.Call(fleet.site.JobRequest("entry-1", "job-a", 1)).status ==
+      202);
   const auto page = fleet.site.WaitForResults("entry-1", "job-a", 1);
   CHECK(page.at("results").as_array().front().at("output") == kFiveWords);
   CHECK(fleet.Runs() >= 2);
@@ -219,13 +243,14 @@
   TwoGateways fleet;
   fleet.first.events = 100000;
   fleet.second.events = 100000;
-  REQUIRE(fleet.site.Call(fleet.site.Job("entry-1", "job-a", 10)).status ==
-          202);
+  REQUIRE(
+      fleet.site.Call(fleet.site.JobRequest("entry-1", "job-a", 10)).status ==
+      202);
   // One slot of each server is reserved for online requests.
   REQUIRE(fleet.site.caller().RunUntil([&] { return fleet.Runs() == 6; }));
   std::vector<ExchangeId> online;
   for (int i = 0; i < 4; ++i) {
-    online.push_back(fleet.site.caller().Begin(fleet.site.Online(
+    online.push_back(fleet.site.caller().Begin(fleet.site.OnlineRequest(
         "entry-2", "POST", "/query/1", "r" + std::to_string(i), 2000)));
     fleet.site.caller().RunFor(std::chrono::milliseconds(60));
   }
@@ -255,9 +280,9 @@
   // The first call may be rejected; the gateway then knows that the store is
   // unavailable to it.
   CHECK(site.caller().RunUntil([&] {
-    return site.Call(site.Job("entry-2", "job-a", 2)).status == 202;
+    return site.Call(site.JobRequest("entry-2", "job-a", 2)).status == 202;
   }));
-  CHECK(site.Call(site.Job("entry-2", "job-b", 2)).status == 202);
+  CHECK(site.Call(site.JobRequest("entry-2", "job-b", 2)).status == 202);
   CHECK(ItemsOf(site.WaitForResults("entry-1", "job-b", 2)).size() == 2);
   CHECK(ItemsOf(site.WaitForResults("entry-2", "job-b", 2)).size() == 2);
   CHECK(site.EndJob("entry-2", "job-a").status == 200);
@@ -274,7 +299,7 @@
   site.retention_s = 1;
   site.AddGateway("entry-1");
   site.AddGateway("entry-2");
-  REQUIRE(site.Call(site.Job("entry-1", "job-a", 2)).status == 202);
+  REQUIRE(site.Call(site.JobRequest("entry-1", "job-a", 2)).status == 202);
   site.WaitForResults("entry-2", "job-a", 2);
   CHECK(site.store().Count("knapweedstile", "job.") == 1);
   CHECK(site.store().Count("knapweedstile", "segment.") >= 1);
@@ -295,7 +320,8 @@
   fleet.site.process("entry-1").Terminate();
   REQUIRE(fleet.site.caller().RunUntil(
       [&] { return !fleet.site.Ready("entry-1"); }));
-  CHECK(fleet.site.Call(fleet.site.Job("entry-1", "job-a", 2)).status == 202);
+  CHECK(fleet.site.Call(fleet.site.JobRequest("entry-1", "job-a", 2)).status ==
+        202);
   CHECK(ItemsOf(fleet.site.WaitForResults("entry-2", "job-a", 2)).size() == 2);
 }
 
@@ -305,7 +331,7 @@
        {"{", "[]", R"({"items":[]})", R"({"items":[{"id":"x"}]})",
         R"({"items":[{"id":"x","path":"/summaries/1","body":"?"}]})"}) {
     auto request =
-        fleet.site.Online("entry-1", "POST", "/summaries/1", "job-x");
+        fleet.site.OnlineRequest("entry-1", "POST", "/summaries/1", "job-x");
     request.body = body;
     const auto end = fleet.site.Call(std::move(request));
     CHECK(end.status == 400);
--- a/tests/users_platform/gateway_faults_test.cc
+++ b/tests/users_platform/gateway_faults_test.cc
@@ -42,12 +42,12 @@
     site.AddGateway("entry-2");
   }
   void Strike(const std::string& who, const Fault& fault) {
-    proxies.at(who)->Strike(fault);
+    proxies.at(who)->Inject(fault);
   }
   unsigned Send(const std::string& gateway, const std::string& method,
                 const std::string& target) {
     const std::string id = "r" + std::to_string(++request_count);
-    return site.Call(site.Online(gateway, method, target, id)).status;
+    return site.Call(site.OnlineRequest(gateway, method, target, id)).status;
   }
   size_t ModelRuns() const {
     return first->runs().size() + second->runs().size();
@@ -56,7 +56,7 @@
 };
 
 constexpr Fault kFreezeOpenConnections{.mode = FaultMode::kFreeze,
-                                       .for_good = true};
+                                       .permanent = true};
 
 }  // namespace
 
@@ -70,7 +70,8 @@
   fleet.site.Configure(5);
   CHECK(fleet.site.caller().RunUntil(
       [&] { return fleet.Send("entry-1", "POST", "/late/1") == 200; }));
-  CHECK(fleet.site.Call(fleet.site.Job("entry-1", "job-a", 2)).status == 202);
+  CHECK(fleet.site.Call(fleet.site.JobRequest("entry-1", "job-a", 2)).status ==
+        202);
 }
 
 // Guards against frozen connections to a backend server. Idempotent requests
@@ -100,9 +101,11 @@
 TEST_CASE("a gateway that resumes after a pause lists no result twice") {
   FaultyFleet fleet;
   fleet.first->events = fleet.second->events = 40;
-  fleet.first->event_pause = fleet.second->event_pause =
+  fleet.first->event_interval = fleet.second->event_interval =
       std::chrono::milliseconds(25);
-  REQUIRE(fleet.site.Call(fleet.site.Job("entry-1", "job-a", 6)).status == 202);
+  REQUIRE(
+      fleet.site.Call(fleet.site.JobRequest("entry-1", "job-a", 6)).status ==
+      202);
   REQUIRE(fleet.site.caller().RunUntil([&] { return fleet.ModelRuns() >= 4; }));
   fleet.site.process("entry-1").Pause();
   const auto taken_over = fleet.site.WaitForResults("entry-2", "job-a", 6);
@@ -124,8 +127,8 @@
   sent.reserve(12);
   for (int i = 0; i < 12; ++i) {
     sent.push_back(fleet.site.caller().Begin(
-        fleet.site.Online("entry-1", "GET", "/book/" + std::to_string(i),
-                          "b" + std::to_string(i))));
+        fleet.site.OnlineRequest("entry-1", "GET", "/book/" + std::to_string(i),
+                                 "b" + std::to_string(i))));
   }
   REQUIRE(fleet.site.caller().RunUntil(
       [&] { return !fleet.plain->runs().empty(); }));
@@ -148,10 +151,12 @@
     "a server that ends in mid-stream loses no item or resumable stream") {
   FaultyFleet fleet;
   fleet.first->events = fleet.second->events = 30;
-  fleet.first->event_pause = fleet.second->event_pause =
+  fleet.first->event_interval = fleet.second->event_interval =
       std::chrono::milliseconds(20);
-  REQUIRE(fleet.site.Call(fleet.site.Job("entry-1", "job-a", 4)).status == 202);
-  auto stream = fleet.site.Online("entry-2", "POST", "/reply/1", "s1");
+  REQUIRE(
+      fleet.site.Call(fleet.site.JobRequest("entry-1", "job-a", 4)).status ==
+      202);
+  auto stream = fleet.site.OnlineRequest("entry-2", "POST", "/reply/1", "s1");
   const ExchangeId exchange = fleet.site.caller().Begin(std::move(stream));
   REQUIRE(fleet.site.caller().RunUntil([&] { return fleet.ModelRuns() >= 5; }));
   fleet.site.caller().RunFor(std::chrono::milliseconds(120));
@@ -180,10 +185,11 @@
     CAPTURE(killed);
     FaultyFleet fleet;
     fleet.first->events = fleet.second->events = 240;
-    fleet.first->event_pause = fleet.second->event_pause =
+    fleet.first->event_interval = fleet.second->event_interval =
         std::chrono::milliseconds(25);
-    REQUIRE(fleet.site.Call(fleet.site.Job("entry-1", "job-a", 4)).status ==
-            202);
+    REQUIRE(
+        fleet.site.Call(fleet.site.JobRequest("entry-1", "job-a", 4)).status ==
+        202);
     REQUIRE(
         fleet.site.caller().RunUntil([&] { return fleet.ModelRuns() == 4; }));
     fleet.site.caller().RunFor(std::chrono::milliseconds(2500));
@@ -214,7 +220,7 @@
 TEST_CASE("an item that crashes servers is given up, the others complete") {
   FaultyFleet fleet;
   fleet.first->crash_body = fleet.second->crash_body = "boom";
-  auto request = fleet.site.Job("entry-1", "job-a", 6);
+  auto request = fleet.site.JobRequest("entry-1", "job-a", 6);
   const std::string usual = "aGVsbG8=";
   request.body.replace(request.body.find(usual), usual.size(), "Ym9vbQ==");
   const auto accepted = fleet.site.Call(std::move(request));
@@ -239,7 +245,7 @@
     namespace asio = boost::asio;
     asio::io_context io;
     asio::ip::tcp::socket socket(io);
-    const std::string& address = fleet.site.callers("entry-1");
+    const std::string& address = fleet.site.caller_address("entry-1");
     const size_t colon = address.rfind(':');
     socket.connect(
         {asio::ip::make_address(address.substr(0, colon)),
--- a/tests/users_platform/gateway_online_test.cc
+++ b/tests/users_platform/gateway_online_test.cc
@@ -33,7 +33,7 @@
 TEST_CASE("a stream arrives complete, and the request is forwarded unchanged") {
   OneGateway fleet;
   const auto end = fleet.site.Call(
-      fleet.site.Online("entry-1", "POST", "/query/7?a=b", "r1"));
+      fleet.site.OnlineRequest("entry-1", "POST", "/query/7?a=b", "r1"));
   CHECK(end.status == 200);
   CHECK(end.body == kFiveEvents);
   CHECK(end.headers.Find("Request-Id") == "r1");
@@ -52,26 +52,26 @@
   site.AddServer("llm", "i-1");
   site.StartGateway("entry-1");
   CHECK(site.caller().RunUntil([&] {
-    return site.Call(site.Online("entry-1", "POST", "/query/1", "r1")).status ==
-           503;
+    return site.Call(site.OnlineRequest("entry-1", "POST", "/query/1", "r1"))
+               .status == 503;
   }));
   CHECK_FALSE(site.Ready("entry-1"));
   site.Configure(3);
   CHECK(site.caller().RunUntil([&] { return site.Ready("entry-1"); }));
-  CHECK(site.Call(site.Online("entry-1", "POST", "/nowhere/1", "r2")).status ==
-        404);
-  CHECK(site.Call(site.Online("entry-1", "POST", "/query/1", "r3")).status ==
-        200);
+  CHECK(site.Call(site.OnlineRequest("entry-1", "POST", "/nowhere/1", "r2"))
+            .status == 404);
+  CHECK(site.Call(site.OnlineRequest("entry-1", "POST", "/query/1", "r3"))
+            .status == 200);
 }
 
 // Guards against rejecting a request that a full server did not run: it is
 // retried at another server.
 TEST_CASE("a request that a server did not run is retried at another") {
   OneGateway fleet;
-  fleet.first.refuse_next = 1;
-  fleet.second.refuse_next = 1;
+  fleet.first.reject_next = 1;
+  fleet.second.reject_next = 1;
   for (int i = 0; i < 4; ++i) {
-    const auto end = fleet.site.Call(fleet.site.Online(
+    const auto end = fleet.site.Call(fleet.site.OnlineRequest(
         "entry-1", "POST", "/query/1", "r" + std::to_string(i)));
     CHECK((end.status == 200 || end.status == 503));
     if (end.status == 503) {
@@ -86,7 +86,7 @@
   OneGateway fleet;
   fleet.first.address_reused = true;
   for (int i = 0; i < 6; ++i) {
-    const auto end = fleet.site.Call(fleet.site.Online(
+    const auto end = fleet.site.Call(fleet.site.OnlineRequest(
         "entry-1", "POST", "/query/1", "r" + std::to_string(i)));
     CHECK(end.status == 200);
   }
@@ -99,8 +99,8 @@
   OneGateway fleet;
   fleet.first.break_after = 2;
   fleet.second.break_after = 2;
-  const auto end =
-      fleet.site.Call(fleet.site.Online("entry-1", "POST", "/reply/1", "r1"));
+  const auto end = fleet.site.Call(
+      fleet.site.OnlineRequest("entry-1", "POST", "/reply/1", "r1"));
   // If the second server is tried first, it aborts the stream too, and one
   // attempt is left after its events.
   if (end.outcome == http::ClientOutcome::kComplete) {
@@ -114,8 +114,8 @@
   fleet.site.RemoveServer(fleet.second);
   fleet.site.caller().RunFor(std::chrono::milliseconds(200));
   fleet.first.break_after = 2;
-  const auto broken =
-      fleet.site.Call(fleet.site.Online("entry-1", "POST", "/query/1", "r0"));
+  const auto broken = fleet.site.Call(
+      fleet.site.OnlineRequest("entry-1", "POST", "/query/1", "r0"));
   // The route is not resumable, so the response must not look complete.
   CHECK(broken.outcome != http::ClientOutcome::kComplete);
   CHECK(fleet.Runs() == 1);
@@ -125,9 +125,9 @@
 // when its response is invalid: the request may have run.
 TEST_CASE("a non-idempotent request that may have run is not retried") {
   OneGateway fleet;
-  fleet.plain.foreign_next = 1;
-  const auto end =
-      fleet.site.Call(fleet.site.Online("entry-1", "GET", "/book/1", "r1"));
+  fleet.plain.wrong_id_next = 1;
+  const auto end = fleet.site.Call(
+      fleet.site.OnlineRequest("entry-1", "GET", "/book/1", "r1"));
   CHECK(end.status == 502);
   CHECK(fleet.plain.runs().size() == 1);
 }
@@ -137,10 +137,10 @@
   OneGateway fleet;
   ModelServer& other = fleet.site.AddServer("app", "i-4");
   fleet.site.caller().RunFor(std::chrono::milliseconds(200));
-  fleet.plain.foreign_next = 1;
+  fleet.plain.wrong_id_next = 1;
   other.unsigned_next = 1;
   for (int i = 0; i < 3; ++i) {
-    const auto end = fleet.site.Call(fleet.site.Online(
+    const auto end = fleet.site.Call(fleet.site.OnlineRequest(
         "entry-1", "GET", "/ping/1", "r" + std::to_string(i)));
     if (end.status == 200) CHECK(end.body == "plain answer");
     CHECK((end.status == 200 || end.status == 502));
@@ -150,8 +150,8 @@
 TEST_CASE("an error response of a server is forwarded unchanged") {
   OneGateway fleet;
   fleet.plain.fail_next = 1;
-  const auto end =
-      fleet.site.Call(fleet.site.Online("entry-1", "GET", "/book/1", "r1"));
+  const auto end = fleet.site.Call(
+      fleet.site.OnlineRequest("entry-1", "GET", "/book/1", "r1"));
   CHECK(end.status == 500);
   CHECK_FALSE(end.headers.Find("Response-Signature").empty());
   CHECK(fleet.plain.runs().size() == 1);
@@ -164,7 +164,7 @@
   fleet.first.events = 10000;
   fleet.second.events = 10000;
   auto& caller = fleet.site.caller();
-  auto request = fleet.site.Online("entry-1", "POST", "/query/1", "r1");
+  auto request = fleet.site.OnlineRequest("entry-1", "POST", "/query/1", "r1");
   request.stream_body = true;
   const ExchangeId exchange = caller.Begin(std::move(request));
   REQUIRE(caller.RunUntil(
@@ -181,10 +181,10 @@
 // server responds.
 TEST_CASE("a request that exceeds the timeout of its route gets 504") {
   OneGateway fleet;
-  fleet.first.first_pause = std::chrono::seconds(60);
-  fleet.second.first_pause = std::chrono::seconds(60);
+  fleet.first.first_byte_delay = std::chrono::seconds(60);
+  fleet.second.first_byte_delay = std::chrono::seconds(60);
   const auto end = fleet.site.Call(
-      fleet.site.Online("entry-1", "POST", "/query/1", "r1", 20000));
+      fleet.site.OnlineRequest("entry-1", "POST", "/query/1", "r1", 20000));
   CHECK(end.status == 504);
 }
 
@@ -194,8 +194,8 @@
   fleet.site.caller().RunFor(std::chrono::milliseconds(300));
   for (int i = 0; i < 8; ++i) {
     CHECK(fleet.site
-              .Call(fleet.site.Online("entry-1", "POST", "/query/1",
-                                      "r" + std::to_string(i)))
+              .Call(fleet.site.OnlineRequest("entry-1", "POST", "/query/1",
+                                             "r" + std::to_string(i)))
               .status == 200);
   }
   CHECK(fleet.first.runs().empty());
@@ -209,11 +209,11 @@
   fleet.site.store().SuspendWatches();
   fleet.site.MarkDraining(fleet.first);
   fleet.site.Configure(9);
-  fleet.site.store().ForgetHistory();
+  fleet.site.store().DropHistory();
   fleet.site.caller().RunFor(std::chrono::milliseconds(500));
   for (int i = 0; i < 6; ++i) {
-    fleet.site.Call(fleet.site.Online("entry-1", "POST", "/query/1",
-                                      "r" + std::to_string(i)));
+    fleet.site.Call(fleet.site.OnlineRequest("entry-1", "POST", "/query/1",
+                                             "r" + std::to_string(i)));
   }
   CHECK(fleet.first.runs().empty());
   CHECK(fleet.site.Metrics("entry-1").find("knap_configuration_version 9") !=
@@ -224,16 +224,18 @@
 // servers expire in the outage and are renewed within two seconds after it.
 TEST_CASE("servers whose registrations expired in an outage are still used") {
   OneGateway fleet;
-  fleet.site.store().SetHealth(ObjectStore::Health::kBusy);
+  fleet.site.store().SetHealth(ObjectStore::Health::kUnavailable);
   fleet.site.caller().RunFor(std::chrono::milliseconds(1500));
   fleet.site.RemoveServer(fleet.first);
   fleet.site.RemoveServer(fleet.second);
-  fleet.site.store().SetHealth(ObjectStore::Health::kGood);
+  fleet.site.store().SetHealth(ObjectStore::Health::kHealthy);
   fleet.site.caller().RunFor(std::chrono::milliseconds(1000));
-  CHECK(fleet.site.Call(fleet.site.Online("entry-1", "POST", "/query/1", "r1"))
+  CHECK(fleet.site
+            .Call(fleet.site.OnlineRequest("entry-1", "POST", "/query/1", "r1"))
             .status == 200);
   fleet.site.caller().RunFor(std::chrono::milliseconds(2500));
-  CHECK(fleet.site.Call(fleet.site.Online("entry-1", "POST", "/query/1", "r2"))
+  CHECK(fleet.site
+            .Call(fleet.site.OnlineRequest("entry-1", "POST", "/query/1", "r2"))
             .status == 503);
 }
 
@@ -243,9 +245,9 @@
 TEST_CASE(
     "a configuration written as the store recovers takes effect in time") {
   OneGateway fleet;
-  fleet.site.store().SetHealth(ObjectStore::Health::kSilent);
+  fleet.site.store().SetHealth(ObjectStore::Health::kUnresponsive);
   fleet.site.caller().RunFor(std::chrono::milliseconds(5500));
-  fleet.site.store().SetHealth(ObjectStore::Health::kGood);
+  fleet.site.store().SetHealth(ObjectStore::Health::kHealthy);
   fleet.site.Configure(9);
   fleet.site.caller().RunFor(std::chrono::milliseconds(1700));
   CHECK(fleet.site.Metrics("entry-1").find("knap_configuration_version 9") !=
@@ -258,16 +260,17 @@
   OneGateway fleet;
   fleet.first.events = 200;
   fleet.second.events = 200;
-  fleet.first.event_pause = std::chrono::milliseconds(5);
-  fleet.second.event_pause = std::chrono::milliseconds(5);
+  fleet.first.event_interval = std::chrono::milliseconds(5);
+  fleet.second.event_interval = std::chrono::milliseconds(5);
   auto& caller = fleet.site.caller();
-  const ExchangeId exchange =
-      caller.Begin(fleet.site.Online("entry-1", "POST", "/query/1", "r1"));
+  const ExchangeId exchange = caller.Begin(
+      fleet.site.OnlineRequest("entry-1", "POST", "/query/1", "r1"));
   REQUIRE(caller.RunUntil([&] { return fleet.Runs() == 1; }));
   fleet.site.process("entry-1").Terminate();
   CHECK(caller.RunUntil([&] { return !fleet.site.Ready("entry-1"); }));
   // Callers that have not seen the readiness change are still served.
-  CHECK(fleet.site.Call(fleet.site.Online("entry-1", "GET", "/ping/1", "r2"))
+  CHECK(fleet.site
+            .Call(fleet.site.OnlineRequest("entry-1", "GET", "/ping/1", "r2"))
             .status == 200);
   REQUIRE(caller.RunUntilEnd(exchange));
   CHECK(caller.answer(exchange).end->outcome == http::ClientOutcome::kComplete);
@@ -295,15 +298,17 @@
   fleet.site.AddGateway("entry-2");
   fleet.plain.crash_body = "poison";
   for (int i = 0; i < 8; ++i) {
-    auto request = fleet.site.Online(i % 2 == 0 ? "entry-1" : "entry-2", "POST",
-                                     "/book/1", "r" + std::to_string(i));
+    auto request =
+        fleet.site.OnlineRequest(i % 2 == 0 ? "entry-1" : "entry-2", "POST",
+                                 "/book/1", "r" + std::to_string(i));
     request.body = "poison";
     const auto end = fleet.site.Call(std::move(request));
     CHECK(end.status / 100 == 5);
     fleet.site.caller().RunFor(std::chrono::milliseconds(400));
   }
   CHECK(fleet.plain.runs().size() == 3);
-  CHECK(fleet.site.Call(fleet.site.Online("entry-1", "GET", "/book/1", "ok"))
+  CHECK(fleet.site
+            .Call(fleet.site.OnlineRequest("entry-1", "GET", "/book/1", "ok"))
             .status == 200);
 }
 
--- a/tests/users_platform/gateway_restart_test.cc
+++ b/tests/users_platform/gateway_restart_test.cc
@@ -32,7 +32,9 @@
 TEST_CASE("a gateway that lists slowly starts no items of an ended job") {
   BusyFleet fleet;
   harness::Caller& caller = fleet.site.caller();
-  REQUIRE(fleet.site.Call(fleet.site.Job("entry-1", "job-a", 3)).status == 202);
+  REQUIRE(
+      fleet.site.Call(fleet.site.JobRequest("entry-1", "job-a", 3)).status ==
+      202);
   REQUIRE(caller.RunUntil([&] { return fleet.Runs() >= 3; }));
   fleet.site.process("entry-1").Kill();
   fleet.site.store().DelayLists(milliseconds(800));
@@ -52,10 +54,12 @@
     "items of a gateway that restarts at once resume after their last event") {
   BusyFleet fleet;
   fleet.first.events = fleet.second.events = 240;
-  fleet.first.event_pause = fleet.second.event_pause = milliseconds(25);
+  fleet.first.event_interval = fleet.second.event_interval = milliseconds(25);
   harness::Caller& caller = fleet.site.caller();
   fleet.site.AddGateway("entry-2");
-  REQUIRE(fleet.site.Call(fleet.site.Job("entry-1", "job-a", 4)).status == 202);
+  REQUIRE(
+      fleet.site.Call(fleet.site.JobRequest("entry-1", "job-a", 4)).status ==
+      202);
   REQUIRE(caller.RunUntil([&] { return fleet.Runs() == 4; }));
   caller.RunFor(milliseconds(2500));
   fleet.site.process("entry-1").Kill();
@@ -81,8 +85,8 @@
   caller.RunFor(milliseconds(6500));
   fleet.site.process("entry-2").Kill();
   caller.RunFor(milliseconds(1200));
-  CHECK(fleet.site.Call(fleet.site.Job("entry-1", "job-a", 3, 100)).status ==
-        202);
+  CHECK(fleet.site.Call(fleet.site.JobRequest("entry-1", "job-a", 3, 100))
+            .status == 202);
 }
 
 // Guards against callers that wait for streams of a backend server that crashed
@@ -98,7 +102,7 @@
   harness::Caller& caller = site.caller();
   std::vector<ExchangeId> streams;
   for (const char* id : {"r1", "r2"}) {
-    auto request = site.Online("entry-1", "POST", "/query/1", id);
+    auto request = site.OnlineRequest("entry-1", "POST", "/query/1", id);
     request.stream_body = true;
     streams.push_back(caller.Begin(std::move(request)));
   }
@@ -113,8 +117,8 @@
     CHECK(caller.answer(stream).end->outcome != http::ClientOutcome::kComplete);
   }
   server.events = 3;
-  CHECK(site.Call(site.Online("entry-1", "POST", "/query/1", "r3")).status ==
-        200);
+  CHECK(site.Call(site.OnlineRequest("entry-1", "POST", "/query/1", "r3"))
+            .status == 200);
   CHECK(server.runs().size() == 3);
 }
 
@@ -131,7 +135,8 @@
     for (int i = 0; i < 8; ++i) {
       const std::string id = "r" + std::to_string(i);
       CHECK(
-          fleet.site.Call(fleet.site.Online("entry-1", "POST", "/query/1", id))
+          fleet.site
+              .Call(fleet.site.OnlineRequest("entry-1", "POST", "/query/1", id))
               .status == 200);
     }
     CHECK(fleet.first.runs().empty());
--- a/tests/users_platform/model_server.cc
+++ b/tests/users_platform/model_server.cc
@@ -92,7 +92,7 @@
   if (address_reused || (!expected.empty() && expected != instance_)) {
     return respond(421, {});
   }
-  if (queued_.size() >= kMaxQueuedStreams || ConsumeOne(refuse_next)) {
+  if (queued_.size() >= kMaxQueuedStreams || ConsumeOne(reject_next)) {
     http::HeaderList headers;
     headers.Add("Not-Executed", "1");
     return respond(503, std::move(headers));
@@ -102,7 +102,7 @@
                    .body = request.body,
                    .headers = request.headers,
                    .instance = instance_,
-                   .began_at = MonotonicNow()});
+                   .started_at = MonotonicNow()});
   if (!crash_body.empty() && request.body == crash_body) {
     server_.Execute(http::AbortCommand{request.exchange});
     return true;
@@ -118,7 +118,8 @@
     runs_.back().status = 422;
     return respond(422, ResponseHeaders(id));
   }
-  if (ConsumeOne(foreign_next)) return respond(200, ResponseHeaders("another"));
+  if (ConsumeOne(wrong_id_next))
+    return respond(200, ResponseHeaders("another"));
   if (ConsumeOne(unsigned_next)) {
     http::HeaderList headers;
     headers.Add("Request-Id", id);
@@ -174,7 +175,7 @@
   std::erase(queued_, exchange);
   ++running_;
   boost::asio::steady_timer& timer = *streams_.at(exchange).timer;
-  timer.expires_after(first_pause);
+  timer.expires_after(first_byte_delay);
   timer.async_wait([this, exchange](const boost::system::error_code& ec) {
     if (!ec) StartStream(exchange);
   });
@@ -243,7 +244,7 @@
     server_.Execute(http::AbortCommand{exchange});
     return;
   }
-  stream.timer->expires_after(event_pause);
+  stream.timer->expires_after(event_interval);
   stream.timer->async_wait(
       [this, exchange](const boost::system::error_code& ec) {
         if (!ec) SendEvent(exchange);
--- a/tests/users_platform/model_server.h
+++ b/tests/users_platform/model_server.h
@@ -30,7 +30,7 @@
     bool cancelled = false;  // the connection was closed before the end
     bool complete = false;
     std::string instance;  // that ran the request
-    TimePoint began_at{};
+    TimePoint started_at{};
     TimePoint ended_at = kNever;  // completed, broken or cancelled
     unsigned status = 0;          // of a response without a stream
   };
@@ -43,17 +43,17 @@
 
   // Events of one stream and the time between two of them.
   int events = 5;
-  std::chrono::milliseconds event_pause{2};
+  std::chrono::milliseconds event_interval{2};
   // Delay before the first byte of a response.
-  std::chrono::milliseconds first_pause{0};
+  std::chrono::milliseconds first_byte_delay{0};
 
   // Faults of the next requests; each use decrements its count.
-  int refuse_next = 0;         // 503 with Not-Executed
+  int reject_next = 0;         // 503 with Not-Executed
   int fail_next = 0;           // 500 after the request ran
   int unprocessable_next = 0;  // 422: can never succeed
   int break_after = 0;         // aborts one stream after this many events
   int unsigned_next = 0;       // a response without a signature
-  int foreign_next = 0;        // a response with the id of another request
+  int wrong_id_next = 0;       // a response with the id of another request
   std::string crash_body;      // a request with this body aborts the connection
   bool address_reused = false;  // 421: another server has the address
 
--- a/tests/users_platform/object_store.cc
+++ b/tests/users_platform/object_store.cc
@@ -87,10 +87,10 @@
 
 void ObjectStore::SetHealth(Health health) {
   health_ = health;
-  if (health_ == Health::kGood) NotifyWatches();
+  if (health_ == Health::kHealthy) NotifyWatches();
 }
 
-void ObjectStore::ForgetHistory() {
+void ObjectStore::DropHistory() {
   history_.clear();
   oldest_revision_ = revision_ + 1;
   watches_suspended_ = false;
@@ -150,8 +150,9 @@
 }
 
 void ObjectStore::OnRequest(const http::RequestEvent& request) {
-  if (health_ == Health::kSilent) return;
-  if (health_ == Health::kBusy) return RespondJson(request.exchange, 503, {});
+  if (health_ == Health::kUnresponsive) return;
+  if (health_ == Health::kUnavailable)
+    return RespondJson(request.exchange, 503, {});
   const auto url = boost::urls::parse_origin_form(request.target).value();
   std::vector<std::string> path;
   for (const auto& segment : url.segments()) path.push_back(segment);
@@ -228,7 +229,7 @@
   auto timer = std::make_unique<boost::asio::steady_timer>(
       io_, std::chrono::milliseconds(wait_ms));
   timer->async_wait([this, exchange](const boost::system::error_code& ec) {
-    if (ec || health_ != Health::kGood || watches_suspended_) return;
+    if (ec || health_ != Health::kHealthy || watches_suspended_) return;
     for (auto at = watches_.begin(); at != watches_.end(); ++at) {
       if (at->exchange != exchange) continue;
       RespondToWatch(*at, true);
@@ -241,7 +242,7 @@
 }
 
 void ObjectStore::NotifyWatches() {
-  if (watches_suspended_ || health_ != Health::kGood) return;
+  if (watches_suspended_ || health_ != Health::kHealthy) return;
   watches_.remove_if(
       [this](const Watch& watch) { return RespondToWatch(watch, false); });
 }
--- a/tests/users_platform/object_store.h
+++ b/tests/users_platform/object_store.h
@@ -20,9 +20,9 @@
 class ObjectStore {
  public:
   enum class Health {
-    kGood,
-    kBusy,    // 503: the call had no effect
-    kSilent,  // calls get no response
+    kHealthy,
+    kUnavailable,   // 503: the call had no effect
+    kUnresponsive,  // calls get no response
   };
 
   explicit ObjectStore(boost::asio::io_context& io);
@@ -45,7 +45,7 @@
   void LoseAnswers(int count) { lost_responses_ = count; }
   // The connections of the next `count` writes are aborted; each write runs
   // after `delay` and takes effect if its conditions hold then.
-  void RunLate(int count, std::chrono::milliseconds delay) {
+  void DelayWrites(int count, std::chrono::milliseconds delay) {
     delayed_writes_ = count;
     write_delay_ = delay;
   }
@@ -56,7 +56,7 @@
   void SuspendWatches() { watches_suspended_ = true; }
   // Aborts all watches and drops the history, so that changes made while
   // watches were suspended are only visible in a new list.
-  void ForgetHistory();
+  void DropHistory();
 
   // State for the checks of tests.
   size_t Count(const std::string& kind, const std::string& prefix) const;
@@ -119,7 +119,7 @@
   std::string address_;
   std::string second_address_;
   bool rejects_at_second_ = false;
-  Health health_ = Health::kGood;
+  Health health_ = Health::kHealthy;
   bool watches_suspended_ = false;
   int lost_responses_ = 0;
   int delayed_writes_ = 0;
--- a/tests/users_platform/own_interface_test.cc
+++ b/tests/users_platform/own_interface_test.cc
@@ -30,7 +30,7 @@
                               const std::string& method,
                               const std::string& target,
                               const std::string& body = {}) const {
-    http::ClientRequest request{.address = site.callers(gateway),
+    http::ClientRequest request{.address = site.caller_address(gateway),
                                 .method = method,
                                 .target = target,
                                 .body = body};
@@ -119,7 +119,8 @@
 
 TEST_CASE("a cancelled job is reported as cancelled and stops") {
   NativeApiFleet fleet;
-  fleet.first.first_pause = fleet.second.first_pause = std::chrono::hours(1);
+  fleet.first.first_byte_delay = fleet.second.first_byte_delay =
+      std::chrono::hours(1);
   const std::string id = fleet.SubmitJob("entry-1", "night-2");
   REQUIRE(fleet.site.caller().RunUntil([&] { return fleet.Runs() == 2; }));
   CHECK(fleet.Call("entry-2", "POST", "/v1/batches/" + id + "/cancel").status ==
@@ -153,7 +154,7 @@
   std::ofstream(file) << kWorkspaceObject;
   int code = 0;
   fleet.site.RunKnapctl(
-      {"apply", "-f", file, "--platform", fleet.site.readiness("entry-1")},
+      {"apply", "-f", file, "--platform", fleet.site.admin_address("entry-1")},
       &code);
   REQUIRE(code == 0);
   const auto send = [&](const std::string& authorization,
@@ -214,9 +215,11 @@
 TEST_CASE("knapctl explain finds the cause of a failed request by its id") {
   NativeApiFleet fleet;
   ModelServer& plain = fleet.site.AddServer("app", "i-3");
-  plain.foreign_next = 1;
+  plain.wrong_id_next = 1;
   REQUIRE(fleet.site.caller().RunUntil([&] {
-    return fleet.site.Call(fleet.site.Online("entry-1", "GET", "/book/1", "b1"))
+    return fleet.site
+               .Call(
+                   fleet.site.OnlineRequest("entry-1", "GET", "/book/1", "b1"))
                .status == 502;
   }));
   int code = 0;
@@ -243,8 +246,8 @@
   int code = 0;
   const std::string text =
       fleet.site.RunKnapctl({"timeline", "--request", id + "-a", "--admin",
-                             fleet.site.readiness("entry-1"), "--admin",
-                             fleet.site.readiness("entry-2")},
+                             fleet.site.admin_address("entry-1"), "--admin",
+                             fleet.site.admin_address("entry-2")},
                             &code);
   CHECK(code == 0);
   CHECK(text.find("item_run") != std::string::npos);
--- a/tests/users_platform/policies_test.cc
+++ b/tests/users_platform/policies_test.cc
@@ -32,8 +32,9 @@
   int RunKnapctl(const std::vector<std::string>& words,
                  const std::string& gateway = "entry-1") {
     std::vector<std::string> arguments = words;
-    arguments.insert(arguments.end(), {"--platform", site.readiness(gateway),
-                                       "--admin", site.readiness(gateway)});
+    arguments.insert(arguments.end(),
+                     {"--platform", site.admin_address(gateway), "--admin",
+                      site.admin_address(gateway)});
     output = site.RunKnapctl(arguments, &code);
     return code;
   }
@@ -89,7 +90,8 @@
   CHECK(fleet.site.caller().RunUntil([&] {
     return fleet.InForce("i-1", "night") && fleet.InForce("i-2", "default");
   }));
-  CHECK(fleet.site.Call(fleet.site.Job("entry-2", "job-a", 6)).status == 202);
+  CHECK(fleet.site.Call(fleet.site.JobRequest("entry-2", "job-a", 6)).status ==
+        202);
   fleet.site.WaitForResults("entry-1", "job-a", 6);
   CHECK(ItemsAt(fleet.first) == 0);
   CHECK(ItemsAt(fleet.second) == 6);
@@ -100,7 +102,8 @@
   CHECK(fleet.site.caller().RunUntil([&] {
     return fleet.InForce("i-1", "default") && fleet.InForce("i-2", "night");
   }));
-  CHECK(fleet.site.Call(fleet.site.Job("entry-1", "job-b", 6)).status == 202);
+  CHECK(fleet.site.Call(fleet.site.JobRequest("entry-1", "job-b", 6)).status ==
+        202);
   fleet.site.WaitForResults("entry-2", "job-b", 6);
   CHECK(ItemsAt(fleet.first) == 6);
   CHECK(ItemsAt(fleet.second) == 6);
@@ -112,10 +115,11 @@
 TEST_CASE("items that a new policy leaves no slot are preempted, not lost") {
   OperatedFleet fleet;
   fleet.first.events = fleet.second.events = 60;
-  fleet.first.event_pause = fleet.second.event_pause =
+  fleet.first.event_interval = fleet.second.event_interval =
       std::chrono::milliseconds(30);
   REQUIRE(fleet.Apply(fleet.EngineObject("a", fleet.first, "night")) == 0);
-  CHECK(fleet.site.Call(fleet.site.Job("entry-1", "job-a", 4)).status == 202);
+  CHECK(fleet.site.Call(fleet.site.JobRequest("entry-1", "job-a", 4)).status ==
+        202);
   CHECK(fleet.site.caller().RunUntil([&] { return ItemsAt(fleet.first) > 0; }));
   REQUIRE(fleet.Apply(kNoBatchOnNight) == 0);
   const auto page = fleet.site.WaitForResults("entry-1", "job-a", 4);
@@ -140,8 +144,8 @@
       [&] { return fleet.InForce("i-1", "replies"); }));
   for (int i = 0; i < 8; ++i) {
     CHECK(fleet.site
-              .Call(fleet.site.Online("entry-1", "POST", "/reply/1",
-                                      "r" + std::to_string(i)))
+              .Call(fleet.site.OnlineRequest("entry-1", "POST", "/reply/1",
+                                             "r" + std::to_string(i)))
               .status == 200);
   }
   CHECK(fleet.first.runs().size() == 8);
@@ -163,7 +167,7 @@
   CHECK(fleet.Apply(R"([{"kind": "policy", "name": "day", "labels": {},
       "spec": {"sharing": "priority_cancl"}}])") == kInvalid);
   http::ClientRequest direct;
-  direct.address = fleet.site.readiness("entry-1");
+  direct.address = fleet.site.admin_address("entry-1");
   direct.method = "PUT";
   direct.target = "/v1/objects/policy/day?if_version=0";
   direct.body = R"({"labels": {}, "spec": {"sharing": "no"}})";
@@ -188,7 +192,7 @@
   for (int round = 0; round < 8; ++round) {
     const auto write = [&](const char* gateway, int priority) {
       http::ClientRequest request;
-      request.address = fleet.site.readiness(gateway);
+      request.address = fleet.site.admin_address(gateway);
       request.method = "PUT";
       request.target =
           "/v1/objects/policy/night?if_version=" + std::to_string(version);
--- a/tests/users_platform/site.cc
+++ b/tests/users_platform/site.cc
@@ -181,7 +181,7 @@
 std::string Site::WriteSettings(const std::string& name) {
   const std::string listens = kLoopback + std::to_string(FreePort());
   caller_addresses_[name] = interpose("callers/" + name, listens);
-  readiness_[name] = kLoopback + std::to_string(FreePort());
+  admin_addresses_[name] = kLoopback + std::to_string(FreePort());
   std::string text = ReadTemplate();
   text = std::regex_replace(
       text, std::regex(R"(\{\{[#/](listen|bounds|limits|provider)\.\w+\}\}\n)"),
@@ -192,7 +192,7 @@
   text = Replace(text, "provider.history_s", "20");
   text = Replace(text, "zone", zone_of(name));
   text = Replace(text, "listen.front", listens);
-  text = Replace(text, "listen.ready", readiness_[name]);
+  text = Replace(text, "listen.ready", admin_addresses_[name]);
   text = Replace(text, "port_range.0", std::to_string(FreePort()));
   const std::string& store =
       use_second_store_address ? store_.second_address() : store_.address();
@@ -240,7 +240,7 @@
 void Site::AddGateway(const std::string& name) {
   StartGateway(name);
   if (!caller_.GetUntil(
-          readiness_[name], "/-/readiness",
+          admin_addresses_[name], "/-/readiness",
           [](const http::EndEvent& end) { return end.status == 200; })) {
     throw std::runtime_error(
         "gateway " + name + " did not become ready: " + process(name).output());
@@ -248,15 +248,16 @@
 }
 
 bool Site::Ready(const std::string& gateway) {
-  return caller_.Get(readiness_.at(gateway), "/-/readiness").status == 200;
+  return caller_.Get(admin_addresses_.at(gateway), "/-/readiness").status ==
+         200;
 }
 
 std::string Site::Metrics(const std::string& gateway) {
-  return caller_.Get(readiness_.at(gateway), "/metrics").body;
+  return caller_.Get(admin_addresses_.at(gateway), "/metrics").body;
 }
 
 std::string Site::Status(const std::string& gateway) {
-  return caller_.Get(readiness_.at(gateway), "/status").body;
+  return caller_.Get(admin_addresses_.at(gateway), "/status").body;
 }
 
 std::string Site::RunKnapctl(const std::vector<std::string>& arguments,
@@ -269,11 +270,11 @@
   return command.output() + command.errors();
 }
 
-http::ClientRequest Site::Online(const std::string& gateway,
-                                 const std::string& method,
-                                 const std::string& target,
-                                 const std::string& id,
-                                 int64_t budget_ms) const {
+http::ClientRequest Site::OnlineRequest(const std::string& gateway,
+                                        const std::string& method,
+                                        const std::string& target,
+                                        const std::string& id,
+                                        int64_t budget_ms) const {
   http::ClientRequest request;
   request.address = caller_addresses_.at(gateway);
   request.method = method;
@@ -286,8 +287,9 @@
   return request;
 }
 
-http::ClientRequest Site::Job(const std::string& gateway, const std::string& id,
-                              int items, int tokens) const {
+http::ClientRequest Site::JobRequest(const std::string& gateway,
+                                     const std::string& id, int items,
+                                     int tokens) const {
   json::array list;
   for (int i = 0; i < items; ++i) {
     const std::string item = id + "-" + std::to_string(i);
@@ -297,7 +299,8 @@
                                 {"body", "aGVsbG8="},  // hello
                                 {"tokens", tokens}});
   }
-  http::ClientRequest request = Online(gateway, "POST", "/summaries/new", id);
+  http::ClientRequest request =
+      OnlineRequest(gateway, "POST", "/summaries/new", id);
   request.body = json::serialize(json::object{{"items", std::move(list)}});
   return request;
 }
--- a/tests/users_platform/site.h
+++ b/tests/users_platform/site.h
@@ -90,10 +90,10 @@
     return *processes_.at(name);
   }
   bool Ready(const std::string& gateway);
-  const std::string& readiness(const std::string& gateway) const {
-    return readiness_.at(gateway);
+  const std::string& admin_address(const std::string& gateway) const {
+    return admin_addresses_.at(gateway);
   }
-  const std::string& callers(const std::string& gateway) const {
+  const std::string& caller_address(const std::string& gateway) const {
     return caller_addresses_.at(gateway);
   }
   std::string Metrics(const std::string& gateway);
@@ -106,12 +106,14 @@
   std::string File(const std::string& name) const { return folder_.File(name); }
 
   // Requests as callers send them.
-  http::ClientRequest Online(const std::string& gateway,
-                             const std::string& method,
-                             const std::string& target, const std::string& id,
-                             int64_t budget_ms = 5000) const;
-  http::ClientRequest Job(const std::string& gateway, const std::string& id,
-                          int items, int tokens = 100) const;
+  http::ClientRequest OnlineRequest(const std::string& gateway,
+                                    const std::string& method,
+                                    const std::string& target,
+                                    const std::string& id,
+                                    int64_t budget_ms = 5000) const;
+  http::ClientRequest JobRequest(const std::string& gateway,
+                                 const std::string& id, int items,
+                                 int tokens = 100) const;
   // Sends and waits; the events of a streamed response are in `body`.
   http::EndEvent Call(http::ClientRequest&& request);
   http::EndEvent Results(const std::string& gateway, const std::string& job,
@@ -141,7 +143,7 @@
   std::map<std::string, uint64_t> started_ms_;  // by instance, Unix time
   std::map<std::string, std::unique_ptr<harness::Process>> processes_;
   std::map<std::string, std::string> caller_addresses_;  // after `interpose`
-  std::map<std::string, std::string> readiness_;
+  std::map<std::string, std::string> admin_addresses_;
   std::map<std::string, int> start_counts_;
   int last_port_ = 0;
   int command_count_ = 0;
--- a/tests/users_platform/standin_site.cc
+++ b/tests/users_platform/standin_site.cc
@@ -82,7 +82,7 @@
         std::make_unique<ModelServer>(io, fmt::format("engine-{}", i + 1)));
     server->slots = slots;
     server->completions = true;
-    server->event_pause =
+    server->event_interval =
         std::chrono::milliseconds(flags["token-ms"].as<int>());
     Register(store, *server, "hundehaus-llm", slots, i);
   }
--- a/tests/users_platform/workspace_keys_test.cc
+++ b/tests/users_platform/workspace_keys_test.cc
@@ -43,7 +43,8 @@
   http::EndEvent Send(const std::string& gateway, const std::string& key,
                       const std::string& target = "/ping/1") {
     const std::string id = "r" + std::to_string(++request_count_);
-    return site.Call(WithKey(site.Online(gateway, "GET", target, id), key));
+    return site.Call(
+        WithKey(site.OnlineRequest(gateway, "GET", target, id), key));
   }
   unsigned Status(const std::string& gateway, const std::string& key) {
     return Send(gateway, key).status;
@@ -53,7 +54,7 @@
                                 const std::string& target,
                                 const std::string& key) {
     http::ClientRequest request;
-    request.address = site.callers(gateway);
+    request.address = site.caller_address(gateway);
     request.method = method;
     request.target = target;
     request.headers.Add("Host", kHost);
@@ -92,10 +93,11 @@
   WorkspaceFleet fleet;
   fleet.site.AddGateway("entry-1");
   for (const std::string key : {"kennel-key", "kennel-second", "cattery-key"}) {
-    auto request = fleet.WithKey(
-        fleet.site.Online("entry-1", "POST", "/query/1",
+    auto request =
+        fleet.WithKey(fleet.site.OnlineRequest(
+                          "entry-1", "POST", "/query/1",
                           "to-" + std::to_string(fleet.model.runs().size())),
-        key);
+                      key);
     request.headers.Add("Tenant", "somebody-else");
     request.headers.Add("Proxy-Authorization", "Bearer " + key);
     const unsigned request_status = fleet.site.Call(std::move(request)).status;
@@ -107,7 +109,8 @@
   }
   // A public route needs no key; a workspace that the caller names is still not
   // forwarded.
-  auto public_request = fleet.site.Online("entry-1", "GET", "/book/1", "open");
+  auto public_request =
+      fleet.site.OnlineRequest("entry-1", "GET", "/book/1", "open");
   public_request.headers.Add("Tenant", "somebody-else");
   public_request.headers.Add("Authorization", "Bearer stolen");
   const unsigned public_status =
@@ -128,19 +131,20 @@
            "Bearer kennel-key x", "Bearer k\xc3\xa4nnel",
            "Bearer " + std::string(8192, 'k')}) {
     CAPTURE(value.substr(0, 40));
-    auto request = fleet.site.Online("entry-1", "GET", "/ping/1", "r");
+    auto request = fleet.site.OnlineRequest("entry-1", "GET", "/ping/1", "r");
     request.headers.Add("Authorization", value);
     const unsigned request_status = fleet.site.Call(std::move(request)).status;
     CHECK(request_status == 401);
   }
-  auto doubled = fleet.site.Online("entry-1", "GET", "/ping/1", "r");
+  auto doubled = fleet.site.OnlineRequest("entry-1", "GET", "/ping/1", "r");
   doubled.headers.Add("Authorization", "Bearer kennel-key");
   doubled.headers.Add("Authorization", "Bearer kennel-key");
   const unsigned doubled_status = fleet.site.Call(std::move(doubled)).status;
   CHECK(doubled_status == 401);
   CHECK(fleet.Status("entry-1", "") == 401);
   CHECK(fleet.plain.runs().empty());
-  CHECK(fleet.site.Call(fleet.site.Job("entry-1", "job-a", 2)).status == 401);
+  CHECK(fleet.site.Call(fleet.site.JobRequest("entry-1", "job-a", 2)).status ==
+        401);
   CHECK(fleet.SendJobRequest("entry-1", "GET", "/-/lots/job-a?after=0", "")
             .status == 401);
   CHECK(fleet.SendJobRequest("entry-1", "DELETE", "/-/lots/job-a", "wrong")
@@ -153,9 +157,10 @@
 TEST_CASE("a revoked key is rejected") {
   WorkspaceFleet fleet;
   fleet.site.AddGateway("entry-1");
-  fleet.model.event_pause = std::chrono::milliseconds(100);
+  fleet.model.event_interval = std::chrono::milliseconds(100);
   const auto running = fleet.site.caller().Begin(fleet.WithKey(
-      fleet.site.Online("entry-1", "POST", "/query/1", "q1"), "kennel-key"));
+      fleet.site.OnlineRequest("entry-1", "POST", "/query/1", "q1"),
+      "kennel-key"));
   CHECK(fleet.Status("entry-1", "kennel-key") == 200);
   fleet.site.workspaces = {Workspace("kennel", {"kennel-second"}),
                            Workspace("cattery", {"cattery-key"})};
@@ -226,7 +231,7 @@
 
 TEST_CASE("a gateway without a configuration responds with 503, never 401") {
   WorkspaceFleet fleet;
-  fleet.site.store().SetHealth(ObjectStore::Health::kBusy);
+  fleet.site.store().SetHealth(ObjectStore::Health::kUnavailable);
   fleet.site.StartGateway("entry-1");
   REQUIRE(fleet.site.caller().RunUntil(
       [&] { return fleet.Status("entry-1", "kennel-key") == 503; }));
@@ -245,11 +250,11 @@
   fleet.site.workspace_settings = "trust_for = 1\n";
   fleet.site.AddGateway("entry-1");
   CHECK(fleet.Status("entry-1", "kennel-key") == 200);
-  fleet.site.store().SetHealth(ObjectStore::Health::kBusy);
+  fleet.site.store().SetHealth(ObjectStore::Health::kUnavailable);
   CHECK(fleet.site.caller().RunUntil(
       [&] { return fleet.Status("entry-1", "kennel-key") == 503; }));
   CHECK(fleet.Send("entry-1", "", "/book/1").status == 200);
-  fleet.site.store().SetHealth(ObjectStore::Health::kGood);
+  fleet.site.store().SetHealth(ObjectStore::Health::kHealthy);
   CHECK(fleet.site.caller().RunUntil(
       [&] { return fleet.Status("entry-1", "kennel-key") == 200; }));
 }
@@ -262,7 +267,7 @@
   WorkspaceFleet fleet;
   fleet.site.AddGateway("entry-1");
   fleet.site.AddGateway("entry-2");
-  auto job = fleet.site.Job("entry-1", "job-a", 2);
+  auto job = fleet.site.JobRequest("entry-1", "job-a", 2);
   json::value text = json::parse(job.body);
   text.at("items").at(0).at("headers").as_object()["authorization"] =
       "Bearer kennel-key";
@@ -298,7 +303,7 @@
   }
   // The same id names a separate job in the other workspace.
   REQUIRE(fleet.site
-              .Call(fleet.WithKey(fleet.site.Job("entry-2", "job-a", 3),
+              .Call(fleet.WithKey(fleet.site.JobRequest("entry-2", "job-a", 3),
                                   "cattery-key"))
               .status == 202);
   CHECK(fleet.site.caller().RunUntil(
@@ -316,12 +321,12 @@
 // reached its limit.
 TEST_CASE("the limit on waiting tokens applies per workspace") {
   WorkspaceFleet fleet;
-  fleet.model.first_pause = std::chrono::seconds(60);
+  fleet.model.first_byte_delay = std::chrono::seconds(60);
   fleet.site.Configure(3, {{"max_count", 1000}});
   fleet.site.AddGateway("entry-1");
   const auto submit = [&](const std::string& job, const std::string& key) {
     return fleet.site
-        .Call(fleet.WithKey(fleet.site.Job("entry-1", job, 8), key))
+        .Call(fleet.WithKey(fleet.site.JobRequest("entry-1", job, 8), key))
         .status;
   };
   CHECK(submit("job-a", "kennel-key") == 202);
@@ -360,8 +365,8 @@
   CHECK(fleet.Logged({"entry-1"}, "event=over_rate"));
   int code = 0;
   const std::string shown = fleet.site.RunKnapctl(
-      {"workspaces", "--admin", fleet.site.readiness("entry-1"), "--admin",
-       fleet.site.readiness("entry-2")},
+      {"workspaces", "--admin", fleet.site.admin_address("entry-1"), "--admin",
+       fleet.site.admin_address("entry-2")},
       &code);
   CHECK(code == 0);
   CHECK(shown.find("4/s + 4") != std::string::npos);
