--- a/libs/serving/include/serving/retry_after_policy.h
+++ b/libs/serving/include/serving/retry_after_policy.h
@@ -17,7 +17,7 @@
 // time of the queue, 0.15 to 0.45 s, as Retry-After, callers retry into the
 // same peak, take slots from others or are rejected for good.
 //
-// Callers are therefore told to retry late within the time that they have left,
+// The response therefore asks callers to retry late in the time they have left,
 // at random between a sixth and a third of it so that those rejected at the
 // same moment do not retry at the same moment. A caller would not wait for more
 // than a third. In a replay of twelve bursts 3,162 of 36,786 online requests
