--- a/libs/workspaces/src/rate_quota.cc
+++ b/libs/workspaces/src/rate_quota.cc
@@ -12,11 +12,15 @@
 // No share of a limit is kept for a peer that is unreachable for longer.
 constexpr std::chrono::seconds kPeerRemovalTimeout{30};
 
-// Shares of the overage: for counts that arrive late and are rounded up, for
-// the groups of a partitioned fleet, and for the first seconds after the fleet
-// has started. The rest covers what is admitted until a partition is detected.
+// Fractions of the allowed overage. Each raises a bound of its own in Decide().
+// Always applies: counts arrive late and are rounded up.
 constexpr double kCountingOverageShare = 0.2;
+// Applies while not all gateways are reachable or known. This and the fraction
+// above leave the rest of the overage for requests that are admitted before a
+// partition is detected.
 constexpr double kPartitionOverageShare = 0.4;
+// Applies while counts of the last window are missing after a start. It is not
+// added to the fraction for a partition: the lower of the two bounds applies.
 constexpr double kStartupOverageShare = 0.5;
 
 // How much of an unreachable peer's share of the limit follows its demand; the
@@ -55,8 +59,8 @@
   return share * (settings_.overage_share * limit + settings_.slack_requests);
 }
 
-// An old count is not reduced until all of it may have left the window: reports
-// do not say when within the window the requests were admitted.
+// A count is kept in full until all its requests have left the window: reports
+// do not say when within the window they were admitted.
 uint32_t RateQuota::CountStillInWindow(uint32_t count, TimePoint reported_at,
                                        TimePoint now) const {
   return now - reported_at < settings_.window ? count : 0;
@@ -96,9 +100,9 @@
   return totals;
 }
 
-// Guards against a second burst after a common restart: all gateways are killed
-// while a workspace is at its limit, restart within a second and have no counts
-// of what was admitted before. The time before the start of the oldest
+// Guards against a second burst after a restart of all gateways: they are
+// killed while a workspace is at its limit, restart within a second and have no
+// counts of what was admitted before. The time before the start of the oldest
 // reachable process is assumed to be as full as the limit allows, so that only
 // as much is admitted as has left the window since that start.
 double RateQuota::MaxSinceStart(const RateLimit& limit, TimePoint now) const {
@@ -114,15 +118,15 @@
 
 double RateQuota::ReachableShare(WorkspaceHash workspace) const {
   if (!members_known_) {
-    // On a small VM the list of the fleet is read seconds after the start;
-    // until then the size that faster peers report is used.
+    // The list of gateways may be read only seconds after the start, on a small
+    // VM. Until then the fleet size that peers report is used.
     const auto reachable =
-        static_cast<double>(fleet_size() - unreachable_count_);
+        static_cast<double>(fleet_size() - unreachable_peer_count_);
     const double all =
         advertised_fleet_size_ > 0 ? advertised_fleet_size_ : kAssumedFleetSize;
     return std::min(1.0, reachable / all);
   }
-  if (unreachable_count_ == 0) return 1;
+  if (unreachable_peer_count_ == 0) return 1;
   const double equal_share = 1.0 / static_cast<double>(fleet_size());
   double unreachable_share = 0;
   for (const auto& [gateway, peer] : peers_) {
@@ -138,17 +142,18 @@
   return std::max(0.0, 1 - unreachable_share);
 }
 
-// Guards against a workspace that was idle and uses the rate of the full window
-// in its first seconds. If all gateways then restart, that burst and the rate
-// that grows from the start would fall into one window. With each span limited,
-// both fit into one window together.
+// Limits each span, not only the whole window. Guards against a workspace that
+// was idle and uses the whole window's limit within its first seconds: if all
+// gateways then restarted and lost their counts, what they admit after the
+// restart would fall into the same window and exceed the limit. With each span
+// limited, the requests before and after the restart fit the window together.
 bool RateQuota::FitsAllSpans(const RateLimit& limit,
                              const AdmittedTotals& totals) const {
   const double counting_overage =
       Overage(kCountingOverageShare, WindowLimit(limit));
   for (size_t span = 0; span < kRateSpans; ++span) {
     const double max_requests =
-        limit.MaxRequestsIn(ToSeconds(SpanOf(span))) + counting_overage;
+        limit.MaxRequestsIn(ToSeconds(SpanLength(span))) + counting_overage;
     if (totals.reachable_in_spans[span] + 1 > std::max(1.0, max_requests))
       return false;
   }
@@ -166,16 +171,16 @@
   if (!fits(totals.all, window_limit + counting_overage))
     return RateVerdict::kOverRate;
   if (!FitsAllSpans(limit, totals)) return RateVerdict::kOverRate;
-  const double since_start = MaxSinceStart(limit, now);
-  if (!fits(totals.all, since_start)) return RateVerdict::kStarting;
+  const double max_since_start = MaxSinceStart(limit, now);
+  if (!fits(totals.all, max_since_start)) return RateVerdict::kStarting;
   const double share = ReachableShare(workspace);
   const double available =
-      std::min(since_start,
+      std::min(max_since_start,
                window_limit + Overage(kPartitionOverageShare, window_limit));
   const double max_requests =
       std::max(kMinRequestsPerWindow, share * available);
   if (share < 1 && !fits(totals.reachable, max_requests)) {
-    return RateVerdict::kSplit;
+    return RateVerdict::kPartitioned;
   }
   return RateVerdict::kAdmitted;
 }
@@ -208,11 +213,11 @@
                         .limit = WindowLimit(limit),
                         .total_admitted = totals.all,
                         .own_admitted = totals.own,
-                        .unreachable_gateways = unreachable_count_};
+                        .unreachable_gateways = unreachable_peer_count_};
   OwnCounts& own = own_.try_emplace(workspace, settings_.window).first->second;
   own.used_at = now;
   if (decision.verdict == RateVerdict::kAdmitted) {
-    own.window.Add(now);
+    own.admitted.Add(now);
     if (!std::exchange(own.changed, true)) changed_.push_back(workspace);
     return decision;
   }
@@ -230,7 +235,7 @@
                        TimePoint now) {
   const auto own = own_.find(workspace);
   if (own == own_.end()) return;
-  own->second.window.Remove(admitted_at, now);
+  own->second.admitted.Remove(admitted_at, now);
 }
 
 void RateQuota::SetMembers(const std::vector<GatewayHash>& others,
@@ -241,7 +246,7 @@
     const auto [peer, is_new] = peers_.try_emplace(gateway);
     if (!is_new) continue;
     peer->second.unreachable_since = now;
-    ++unreachable_count_;
+    ++unreachable_peer_count_;
   }
 }
 
@@ -261,7 +266,7 @@
   Peer& peer = found->second;
   if (is_new) {
     peer.unreachable_since = now;
-    ++unreachable_count_;
+    ++unreachable_peer_count_;
   }
   if (start != peer.start) {
     KeepPreviousCounts(gateway, peer);
@@ -297,13 +302,13 @@
   const auto peer = peers_.find(gateway);
   if (peer == peers_.end()) return;
   KeepPreviousCounts(gateway, peer->second);
-  if (peer->second.unreachable) --unreachable_count_;
+  if (peer->second.unreachable) --unreachable_peer_count_;
   peers_.erase(peer);
 }
 
-// Guards against a process that was paused for seconds, has only the reports
-// from before the pause, takes the limits for unused and admits once more what
-// peers have admitted in the meantime.
+// After a pause of seconds the counts of peers are out of date. Guards against
+// a process that would admit requests for quota that peers used during the
+// pause.
 void RateQuota::OnPaused() {
   for (auto& [gateway, peer] : peers_) peer.full_report_received = false;
 }
@@ -313,7 +318,7 @@
                             TimePoint now) const {
   const auto own = own_.find(workspace);
   if (own == own_.end()) return 1;
-  const AdmissionWindow& window = own->second.window;
+  const SlidingWindowCounter& window = own->second.admitted;
   const double count = window.CountIn(settings_.window, now);
   const double before = count - window.CountIn(now - since, now);
   return std::clamp(count / std::max(1.0, before), 1.0, kMaxGrowthFactor);
@@ -324,8 +329,9 @@
   peer.demand_share.clear();
   for (const auto& [workspace, count] : peer.counts) {
     const double all = TotalsOf(workspace, now).all;
-    // What the peer has admitted since its last report is missing here, as ours
-    // is missing there: its count is assumed to have grown as the own one has.
+    // The peer's requests since its last report are unknown: its count is
+    // assumed to have grown by the same factor as the own count. The peer
+    // assumes the same of this gateway.
     const double reported = count.in_window();
     const double grown =
         reported * OwnGrowth(workspace, peer.last_report_at, now);
@@ -333,7 +339,7 @@
       peer.demand_share[workspace] = grown / (all - reported + grown);
   }
   peer.unreachable = true;
-  ++unreachable_count_;
+  ++unreachable_peer_count_;
 }
 
 void RateQuota::Expire(TimePoint now) {
@@ -347,14 +353,14 @@
     } else {
       peer.unreachable = false;
       peer.demand_share.clear();
-      --unreachable_count_;
+      --unreachable_peer_count_;
     }
   }
   std::erase_if(peers_, [&](const auto& element) {
     const Peer& peer = element.second;
     if (!peer.unreachable || now - peer.unreachable_since < kPeerRemovalTimeout)
       return false;
-    --unreachable_count_;
+    --unreachable_peer_count_;
     removed_peers_.insert(element.first);
     return true;
   });
@@ -371,12 +377,12 @@
                                  TimePoint now) const {
   AdmittedCount count{.workspace = workspace};
   for (size_t span = 0; span < kRateSpans; ++span) {
-    count.in_spans[span] = own.window.CountIn(SpanOf(span), now);
+    count.in_spans[span] = own.admitted.CountIn(SpanLength(span), now);
   }
   return count;
 }
 
-RateReport RateQuota::TakeDeltaReport(TimePoint now) {
+RateReport RateQuota::TakeIncrementalReport(TimePoint now) {
   RateReport report{.uptime = now - started_at_};
   for (const WorkspaceHash workspace : std::exchange(changed_, {})) {
     const auto own = own_.find(workspace);
@@ -419,8 +425,9 @@
 
 uint32_t RateQuota::OwnCount(WorkspaceHash workspace, TimePoint now) const {
   const auto own = own_.find(workspace);
-  return own == own_.end() ? 0
-                           : own->second.window.CountIn(settings_.window, now);
+  return own == own_.end()
+             ? 0
+             : own->second.admitted.CountIn(settings_.window, now);
 }
 
 uint32_t RateQuota::OwnRejected(WorkspaceHash workspace, TimePoint now) const {
