--- a/libs/http/src/client_impl.cc
+++ b/libs/http/src/client_impl.cc
@@ -407,7 +407,7 @@
   if (connection.deadline == kNever) return;
   if (MonotonicNow() < connection.deadline) return ArmTimer(connection);
   const bool connecting = connection.phase == ClientPhase::kConnecting;
-  Fail(connection, connecting ? "connect timeout" : "deadline exceeded", true);
+  Fail(connection, connecting ? "connect timeout" : "deadline", true);
 }
 
 }  // namespace knapweedstile::http
