--- a/apps/knapctl/src/label_edit.cc
+++ b/apps/knapctl/src/label_edit.cc
@@ -109,7 +109,7 @@
             FindConflict(before, ParseStored(current.value), edits)) {
       PrintError(fmt::format(
           "{}/{}: label {} was changed concurrently\n"
-          "current: {}\nyours:   {}",
+          "present: {}\nyours:   {}",
           kind, name, *label,
           RenderDocument(kind, name, current.version, current.value),
           ApplyEdits(before, edits)));
--- a/apps/knapctl/src/object_commands.cc
+++ b/apps/knapctl/src/object_commands.cc
@@ -31,7 +31,7 @@
                    const ObjectResponse& current) {
   PrintError(fmt::format(
       "{}/{}: has changed since it was read; nothing was overwritten\n"
-      "current: {}\nyours:   {}\n"
+      "present: {}\nyours:   {}\n"
       "Merge the current version into your file, or apply with its version.",
       document.kind, document.name,
       RenderDocument(document.kind, document.name, current.version,
